--- a/packages/rampswitch-serving/src/intake/caller_server.ts
+++ b/packages/rampswitch-serving/src/intake/caller_server.ts
@@ -97,7 +97,7 @@
         headersTimeout: INITIAL_LIMITS.headerMilliseconds,
         keepAliveTimeout: INITIAL_LIMITS.idleMilliseconds,
         noDelay: true,
-        // Node.js would answer requests without a Host header itself, without a log line.
+        // Node.js would answer requests without a Host header itself and log nothing.
         requireHostHeader: false,
       },
       (incoming, response) => void this.#receive(incoming, response),
@@ -233,7 +233,7 @@
     return this.#malformedConnections.has(socket);
   }
 
-  /** Logs a request that won't run, because its connection could not be parsed or is closed. */
+  /** Logs a request that won't run: its connection could not be parsed or is closed. */
   #logUnread(
     head: RequestHead,
     incoming: IncomingMessage,
@@ -398,7 +398,7 @@
 
   #rejectMalformed(error: Error, socket: Socket): void {
     this.#context.metrics.event("malformed_request");
-    // The caller would take an answer now for that of an earlier request, which may still run.
+    // The caller would take this answer for that of an earlier, running request.
     const carriesRun = this.runs.some((run) => run.isAskedOn(socket));
     if (!socket.writable || socket.bytesWritten > 0 || carriesRun) {
       socket.destroy();
--- a/packages/rampswitch-serving/src/intake/readiness_server.ts
+++ b/packages/rampswitch-serving/src/intake/readiness_server.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Answers the load balancer's readiness checks: whether this host accepts new connections.
+ * Answers the load balancer's checks whether this host accepts new connections.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/relay/arrival_rates.ts
+++ b/packages/rampswitch-serving/src/relay/arrival_rates.ts
@@ -9,7 +9,7 @@
 /** Span over which arrivals are counted, in milliseconds. */
 const SPAN_MILLISECONDS = 4_000;
 
-/** Minimum span by which arrivals are divided, in milliseconds; avoids high rates at the start. */
+/** Minimum span of a rate, in milliseconds; avoids high rates right after the start. */
 const MINIMUM_SPAN_MILLISECONDS = 1_000;
 
 /** Arrivals at this host by service. */
--- a/packages/rampswitch-serving/src/relay/connection_share.ts
+++ b/packages/rampswitch-serving/src/relay/connection_share.ts
@@ -10,7 +10,7 @@
 /** Share of a server's connections that all hosts together may use. */
 const CONNECTION_SHARE = 0.8;
 
-/** Minimum number of connections of a host to one server, even if its share is smaller. */
+/** Minimum connections of a host to one server, even if its share is smaller. */
 const MINIMUM_CONNECTIONS = 2;
 
 /** Maximum number of connections of one host to one server of a service. */
--- a/packages/rampswitch-serving/src/relay/learned_answers.ts
+++ b/packages/rampswitch-serving/src/relay/learned_answers.ts
@@ -18,7 +18,7 @@
   readonly unreadBefore: number;
 }
 
-/** Measures the reading rate by the first part of a request's only send, received at `now`. */
+/** Measures the reading rate; a request's only send had its first part at `now`. */
 export function learnReadingRate(
   request: AdmittedRequest,
   send: TimedSend & { readonly now: number },
@@ -32,7 +32,7 @@
   );
 }
 
-/** Measures the hold time by a whole answer of a plain service: it occupied its slot from the send on. */
+/** Measures the hold time of a plain request, which occupies its slot from its send on. */
 export function learnPlainTime(
   request: AdmittedRequest,
   send: Pick<TimedSend, "sentAt"> & { readonly now: number },
@@ -42,7 +42,7 @@
   holdTimes.measured(request.service.name, send.now - send.sentAt);
 }
 
-/** Measures the hold time by the end of a stream: it occupied its slot from its first part on. */
+/** Measures the hold time of a stream, which occupies its slot from its first part on. */
 export function learnHoldTime(
   request: AdmittedRequest,
   stream: { readonly firstPartAt: number | undefined; readonly now: number },
--- a/packages/rampswitch-serving/src/relay/leaving_servers.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers.ts
@@ -44,7 +44,7 @@
     this.#parts = parts;
   }
 
-  /** Schedules the migrations for a server that announced its end, or whose entry is gone. */
+  /** Schedules migrations for a server that announced its end or lost its entry. */
   async left(record: ServerRecord): Promise<void> {
     const { clock, drainMilliseconds } = this.#parts;
     const announcedAt = record.leavingSince ?? clock.now();
--- a/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
@@ -13,9 +13,9 @@
 } from "../statements/statements_standin.ts";
 
 // A server's entry is removed when it leaves, and also when the store could not be
-// reached for some heartbeats. Runs used to be migrated some time after an entry was
-// removed without a further check: also from servers whose entries were back, and
-// at a time that followed from the report of a later incarnation of the server.
+// reached for some heartbeats. These tests guard against migrations that ignore what
+// happens in the meantime: from servers whose entries are back, and at a time that
+// was computed from the report of a later incarnation of the server.
 
 const ENTRY: BackendServer = {
   id: "s1",
--- a/packages/rampswitch-serving/src/relay/memory_migration.ts
+++ b/packages/rampswitch-serving/src/relay/memory_migration.ts
@@ -28,7 +28,7 @@
   stillRuns(): boolean;
   /** Whether the target is still the incarnation that received the first copy. */
   targetStillRuns(): boolean;
-  /** Called when the run's stop is requested (`true`) and when that was answered (`false`). */
+  /** Called when a stop is requested (`true`) and when it is answered (`false`). */
   onStopChange(stopping: boolean): void;
   /** Called with the handle of memory from which no run will resume. */
   onUnused(handle: string): void;
@@ -38,7 +38,7 @@
 export type MemoryMigrationError =
   MemoryCopyError | "run_ended" | "target_ended";
 
-/** Migrates a run's memory; resolves to its location, or to why the run was not migrated. */
+/** Migrates a run's memory; resolves to its location, or to why it failed. */
 export async function migrateMemory(
   migration: MemoryMigration,
   parts: MemoryMigrationParts,
@@ -58,7 +58,7 @@
   parts: MemoryMigrationParts,
 ): Promise<Result<KeptMemory, MemoryMigrationError>> {
   if (!parts.stillRuns()) return Result.err("run_ended");
-  // The second copy holds only what is new, and the first one is lost with the target.
+  // The second copy holds only what is new, and the target has lost the first one.
   if (!parts.targetStillRuns()) return Result.err("target_ended");
   parts.onStopChange(true);
   const stopped = await stopRun(migration, parts);
@@ -69,7 +69,7 @@
   return Result.err("run_ended");
 }
 
-/** Retries once if no answer came: the run may have stopped although the answer was lost. */
+/** Retries once without an answer: the run may have stopped and the answer been lost. */
 async function stopRun(
   migration: MemoryMigration,
   { control }: MemoryMigrationParts,
--- a/packages/rampswitch-serving/src/relay/memory_migration_test.ts
+++ b/packages/rampswitch-serving/src/relay/memory_migration_test.ts
@@ -15,8 +15,8 @@
 
 // A migration first copies memory while the run continues, and then stops the run.
 // These tests guard against a leak of memory and a slot at a server that continues
-// to serve. It came about in two ways: a failed stop left the first copy at the
-// target, and memory whose source had ended was freed at the source alone.
+// to serve: by a failed stop that leaves the first copy at the target, or by a call
+// that frees memory only at its source although the source has ended.
 
 type Answer = Result<KeptMemory, MemoryCopyError>;
 
--- a/packages/rampswitch-serving/src/relay/reading_rates.ts
+++ b/packages/rampswitch-serving/src/relay/reading_rates.ts
@@ -16,7 +16,7 @@
 /** Rate before the first measurement, in tokens a millisecond: an average engine. */
 const INITIAL_TOKENS_PER_MILLISECOND = 40;
 
-/** Minimum length of a measured prompt, in tokens; shorter ones say little about the rate. */
+/** Minimum length of a measured prompt, in tokens; shorter ones are too inexact. */
 const MINIMUM_MEASURED_TOKENS = 3_000;
 
 /** Minimum weight of a new measurement; the first ones are averaged equally. */
@@ -50,7 +50,7 @@
       .value;
   }
 
-  /** Adds the time to the first part for a prompt on an engine that read little else. */
+  /** Adds a prompt's time to the first part on an engine that read little else. */
   addMeasurement(service: string, tokens: number, milliseconds: number): void {
     const known = this.#rates.get(service) ?? INITIAL_RATE;
     const minimumMilliseconds = Math.min(
@@ -64,7 +64,7 @@
       Math.max(MINIMUM_TOKENS_PER_MILLISECOND, tokens / reading),
     );
     this.#rates.set(service, {
-      minimumMilliseconds: minimumMilliseconds,
+      minimumMilliseconds,
       tokensPerMillisecond: isInformative
         ? withMeasurement(known.tokensPerMillisecond, sample, MINIMUM_WEIGHT)
         : known.tokensPerMillisecond,
--- a/packages/rampswitch-serving/src/relay/recent_dispatches.ts
+++ b/packages/rampswitch-serving/src/relay/recent_dispatches.ts
@@ -9,7 +9,7 @@
 import type { BackendServer } from "../model/backend_server.ts";
 import type { DispatchNews } from "../membership/peer_news.ts";
 
-/** Maximum number of dispatches in one message; the newest are kept as the most useful. */
+/** Maximum dispatches in one message; the newest are the most useful. */
 const MAXIMUM_DISPATCHES_PER_MESSAGE = 24;
 
 /** Time for which a dispatch is reported, in milliseconds: two or three messages. */
--- a/packages/rampswitch-serving/src/relay/run_move.ts
+++ b/packages/rampswitch-serving/src/relay/run_move.ts
@@ -15,13 +15,13 @@
 import type { MemorySource } from "../model/request.ts";
 import {
   type Continuation,
-  SuspendedRun,
   type MemoryHolders,
+  SuspendedRun,
 } from "./suspended_run.ts";
 import {
   dropMemory,
-  type MemoryMigrationError,
   migrateMemory,
+  type MemoryMigrationError,
   stopAbandonedRun,
 } from "./memory_migration.ts";
 import { toldReport } from "../statements/mod.ts";
@@ -78,8 +78,9 @@
   remaining(): number;
   /** Chooses another server; asynchronous where only limited servers are left. */
   choose(): Choice | undefined | Promise<Choice | undefined>;
-  /** Spends one further send, if the budget allows. */
+  /** Charges the resend budget with one send, if it allows one. */
   spend(kind: ResendKind): Spending;
+  /** Notes that a resend was needed and is not made. */
   notRepeated(
     reason: ResendReason,
     why: NotRepeatedReason,
@@ -142,7 +143,7 @@
     return undefined;
   }
 
-  /** Tries to resume at a server again after a send of the retained memory did not run. */
+  /** Resumes the run with a further send after one of the retained memory did not run. */
   goOnAfter(reason: ResendReason): void {
     this.#resume(reason, this.#run.spend("continuation"));
   }
@@ -214,7 +215,7 @@
     this.#resume(reason, decision);
   }
 
-  /** Whether a server is still the incarnation that received the memory. */
+  /** Whether a server is still the incarnation that holds the memory. */
   async #statusFor(
     suspended: SuspendedRun,
     { record }: Choice,
@@ -261,8 +262,8 @@
   }
 
   /**
-   * Stops the run at a server that was abandoned for another one. Over a broken
-   * network path the server is not informed that the connection was closed.
+   * Stops the run at a server that was abandoned for another one. If the network
+   * path is broken, the server does not detect that the connection was closed.
    */
   stopLeft(abandoned: ServerRecord, next: ServerRecord): void {
     this.#context.clock.after(
--- a/packages/rampswitch-serving/src/relay/run_move_test.ts
+++ b/packages/rampswitch-serving/src/relay/run_move_test.ts
@@ -30,11 +30,11 @@
 
 // The memory of a run that was stopped for a migration is named by a handle of the
 // server that stopped it. That server may restart at any moment, before or after
-// hosts detect it, and then restarts the count of its handles. In a test with real
-// connections a stream resumed from the memory of another request, and another
-// request's memory was freed. Here servers restart between any two steps of a
-// migration, and each new incarnation has issued the handles of the former one to
-// another request.
+// hosts detect it, and then restarts the count of its handles. These tests guard
+// against a stream that resumes from the memory of another request, and against
+// freeing another request's memory; both happened with real connections. Servers
+// restart between any two steps of a migration, and each new incarnation has issued
+// the handles of the former one to another request.
 
 const OWN = "own";
 const OTHER = "other";
--- a/packages/rampswitch-serving/src/relay/run_record.ts
+++ b/packages/rampswitch-serving/src/relay/run_record.ts
@@ -59,7 +59,7 @@
   "clock" | "metrics" | "logger" | "began" | "rollouts"
 >;
 
-/** Loss reasons that are certainly the server's failure; others may have another cause. */
+/** Loss reasons that are a server failure; the others may have another cause. */
 const SERVER_FAILURES: ReadonlySet<ResendReason> = new Set([
   "server_error",
   "answer_not_usable",
@@ -187,7 +187,7 @@
     if (workspace !== undefined) this.#context.began(workspace.name);
   }
 
-  /** Notes that the caller receives the first part of the answer, which may be a failure. */
+  /** Notes the first part of the caller's answer, which may be a failure. */
   firstPart(failed = false): void {
     this.#answered(failed);
     this.#firstPartAt ??= this.#context.clock.now();
@@ -272,7 +272,7 @@
     });
   }
 
-  /** Notes that an abandoned run was asked to stop. */
+  /** Notes that an abandoned run was requested to stop. */
   abandonedRunStopped(outcome: string, server: ServerRecord): void {
     this.#context.metrics.event(`left_run_${outcome}`);
     this.#context.logger.info("left run", {
--- a/packages/rampswitch-serving/src/relay/suspended_run.ts
+++ b/packages/rampswitch-serving/src/relay/suspended_run.ts
@@ -10,7 +10,7 @@
 import type { Choice, ServerRecord } from "../choice/mod.ts";
 import type { MemorySource } from "../model/request.ts";
 
-/** Maximum sends of one retained memory; at a rejection rate of 0.5, 0.98 of runs resume. */
+/** Maximum sends of one retained memory; with 0.5 rejected, 0.98 of runs resume. */
 const MAXIMUM_TRIES = 6;
 
 /**
@@ -69,12 +69,12 @@
     return { from: source.record, to: copy?.record };
   }
 
-  /** Whether a server issued the handle, so that the handle ends with its incarnation. */
+  /** Whether a server issued the handle, which then ends with its incarnation. */
   issuedHandle({ record }: Pick<Choice, "record">): boolean {
     return record === this.#locations.source.record;
   }
 
-  /** Uses the next try, at a server that still accepts sends; `undefined` if none is left. */
+  /** Uses the next try at a server that accepts sends; `undefined` if none is left. */
   next(acceptsSends: (choice: Choice) => boolean): Continuation | undefined {
     if (this.exhausted) return undefined;
     const choice = this.#nextLocation(acceptsSends);
