--- a/packages/rampswitch-serving/src/attempt/attempt_machine.ts
+++ b/packages/rampswitch-serving/src/attempt/attempt_machine.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What is known about one caller attempt: whether it can have run, whether it
- * may be sent again, and which answer would be true. Pure; no sockets, no time.
+ * State machine of one caller attempt: whether the request may have run, whether
+ * it may be sent again, and which answers would be correct. Pure: no sockets, no
+ * time.
  *
  * @module
  */
@@ -15,35 +16,35 @@
 } from "xstate";
 import type { Repeatability } from "../model/configuration.ts";
 
-/** What happens to an attempt. */
+/** An event of an attempt. */
 export type AttemptEvent =
-  /** The request is handed to a connection; bytes may leave from now on. */
+  /** The request was handed to a connection; bytes may be sent from now on. */
   | { readonly type: "written" }
-  /** The send ended before any byte left. */
+  /** The send ended before any byte was sent. */
   | { readonly type: "not_written" }
-  /** The backend server says that it did not run the request. */
+  /** The backend server rejected the request and did not run it. */
   | { readonly type: "rejected" }
   /** The backend server answered, so it ran the request. */
   | { readonly type: "answered" }
-  /** A part of the answer went to the caller. */
+  /** A part of the answer was sent to the caller. */
   | { readonly type: "relayed" }
-  /** The connection ended without a whole answer. */
+  /** The connection ended without a complete answer. */
   | { readonly type: "lost" }
-  /** The run stopped on order; it can go on from its kept memory. */
+  /** The run was stopped for a migration; it can resume from its retained memory. */
   | { readonly type: "stopped" }
-  /** The kept memory of a stopped run can't be used any more. */
+  /** The retained memory of a suspended run can't be used any more. */
   | { readonly type: "memory_lost" }
   /** The caller has a final answer. */
   | { readonly type: "ended" };
 
 interface AttemptContext {
-  /** Runs that began or may have begun; a stopped run that goes on is one. */
+  /** Runs that started or may have started; a run that resumes is counted once. */
   readonly possibleRuns: number;
   readonly sends: number;
   readonly relayed: boolean;
 }
 
-/** The machine of one attempt. */
+/** The state machine of one attempt. */
 export const ATTEMPT_MACHINE = setup({
   types: {
     context: {} as AttemptContext,
@@ -54,10 +55,10 @@
     countRun: assign({
       possibleRuns: ({ context }) => context.possibleRuns + 1,
     }),
-    takeBackRun: assign({
+    uncountRun: assign({
       possibleRuns: ({ context }) => context.possibleRuns - 1,
     }),
-    noteRelayed: assign({ relayed: true }),
+    recordRelayed: assign({ relayed: true }),
   },
 }).createMachine({
   id: "attempt",
@@ -72,8 +73,8 @@
     },
     sent: {
       on: {
-        not_written: { target: "waiting", actions: "takeBackRun" },
-        rejected: { target: "waiting", actions: "takeBackRun" },
+        not_written: { target: "waiting", actions: "uncountRun" },
+        rejected: { target: "waiting", actions: "uncountRun" },
         answered: "running",
         lost: "waiting",
         stopped: "suspended",
@@ -82,14 +83,14 @@
     },
     running: {
       on: {
-        relayed: { actions: "noteRelayed" },
+        relayed: { actions: "recordRelayed" },
         lost: "waiting",
         stopped: "suspended",
         ended: "finished",
       },
     },
-    // The stopped run still counts: a rejection takes back the send that
-    // carries its memory, never the run itself.
+    // A suspended run still counts as a possible run. A rejection of the send that
+    // carries its memory must not uncount the run itself.
     suspended: {
       on: {
         written: { target: "resuming", actions: "countSend" },
@@ -115,43 +116,44 @@
 type AttemptSnapshot = SnapshotFrom<typeof ATTEMPT_MACHINE>;
 
 /**
- * Steps of the machine that were taken before, for all attempts of the process.
- * The machine has few states, and a step by it costs some 30 microseconds and 3
- * KB; in a profile of a host with 22 requests a second, steps and the collection
- * of their garbage were 0.3 of its processor time.
+ * Caches the transitions of the machine for all attempts of the process. The
+ * machine has few states, but computing a transition costs about 30 microseconds
+ * and 3 KB. In a profile of a host with 22 requests per second, transitions and
+ * their garbage collection took 0.3 of the processor time.
  */
-class KnownSteps {
+class TransitionCache {
+  /** The initial snapshot. */
   readonly first: AttemptSnapshot = initialTransition(ATTEMPT_MACHINE)[0];
-  readonly #next = new Map<string, AttemptSnapshot>();
+  readonly #transitions = new Map<string, AttemptSnapshot>();
 
   /** The snapshot after an event. */
   after(snapshot: AttemptSnapshot, event: AttemptEvent): AttemptSnapshot {
     const { sends, possibleRuns, relayed } = snapshot.context;
     const key = `${snapshot.value}/${sends}/${possibleRuns}/${relayed}/${event.type}`;
-    const known = this.#next.get(key);
+    const known = this.#transitions.get(key);
     if (known !== undefined) return known;
     const [next] = transition(ATTEMPT_MACHINE, snapshot, event);
-    this.#next.set(key, next);
+    this.#transitions.set(key, next);
     return next;
   }
 }
 
-const STEPS = new KnownSteps();
+const TRANSITIONS = new TransitionCache();
 
 /** States of {@link ATTEMPT_MACHINE}. */
 export type AttemptState =
   "waiting" | "sent" | "running" | "suspended" | "resuming" | "finished";
 
-/** The truth about one attempt, from which answers and resends follow. */
-export class AttemptTruth {
-  #snapshot = STEPS.first;
+/** Tracks the state of one attempt, which decides on answers and resends. */
+export class AttemptTracker {
+  #snapshot = TRANSITIONS.first;
   readonly #repeatability: Repeatability;
 
   constructor(repeatability: Repeatability) {
     this.#repeatability = repeatability;
   }
 
-  /** The state at the last event. */
+  /** The state after the last event. */
   get state(): AttemptState {
     return this.#snapshot.value;
   }
@@ -161,36 +163,36 @@
     return this.#snapshot.context.sends;
   }
 
-  /** Runs that began or may have begun. */
+  /** Runs that started or may have started. */
   get possibleRuns(): number {
     return this.#snapshot.context.possibleRuns;
   }
 
-  /** Whether the caller may be told that the request did not run. */
-  get surelyNotRun(): boolean {
+  /** Whether the request certainly did not run, so that the caller may be told so. */
+  get certainlyNotRun(): boolean {
     return this.possibleRuns === 0;
   }
 
-  /** Whether the caller holds a part of the answer. */
+  /** Whether a part of the answer was sent to the caller. */
   get relayed(): boolean {
     return this.#snapshot.context.relayed;
   }
 
-  /** Whether a send may carry on a run that stopped and whose memory is kept. */
-  get mayGoOn(): boolean {
+  /** Whether a send can resume a suspended run from its retained memory. */
+  get canResume(): boolean {
     return this.state === "suspended";
   }
 
-  /** Whether the request may begin to run at a backend server now. */
-  maySend(maximumRuns: number): boolean {
+  /** Whether the request may be sent to a backend server for a new run now. */
+  canSend(maximumRuns: number): boolean {
     if (this.state !== "waiting") return false;
     return this.#repeatability === "repeatable"
       ? this.possibleRuns < Math.max(1, maximumRuns)
       : this.possibleRuns === 0;
   }
 
-  /** Takes in an event. */
+  /** Applies an event. */
   handle(event: AttemptEvent): void {
-    this.#snapshot = STEPS.after(this.#snapshot, event);
+    this.#snapshot = TRANSITIONS.after(this.#snapshot, event);
   }
 }
--- a/packages/rampswitch-serving/src/attempt/attempt_machine_test.ts
+++ b/packages/rampswitch-serving/src/attempt/attempt_machine_test.ts
@@ -1,20 +1,19 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 import { describe, expect, test } from "@jest/globals";
-import { type AttemptEvent, AttemptTruth } from "./attempt_machine.ts";
-
-// A stream that must run once was stopped so that its memory could move to
-// another server. That server turned it away, three milliseconds later a third
-// one got it without the memory and ran it from the start, and the caller got
-// the pieces of the first run and then all of the second. The stop had taken the
-// run back, and the rejection took it back once more, so that nothing seemed to
-// have run: a run that exists only in kept memory counted as no run. The lines
-// of one request that settled it, in order:
+import { type AttemptEvent, AttemptTracker } from "./attempt_machine.ts";
+
+// Guards against a second run of a stream that may run only once. The stream was
+// suspended for a migration, the target server rejected it, and 3 milliseconds
+// later a third server got it without the memory and ran it from the start. The
+// caller got a part of the first run and then the whole second run. The cause: a
+// run that existed only in retained memory was counted as no run, since the stop
+// and the rejection both uncounted it. The log lines of such a request, in order:
 //   memory move     outcome=moved
 //   request ended   outcome=completed
 //                   resends=rejected,rejected,memory_moved,rejected
 
-/** Everything that can happen to a send, the final answer aside. */
+/** All events of a send, except the final answer. */
 const EVENTS: readonly AttemptEvent["type"][] = [
   "written",
   "not_written",
@@ -26,44 +25,48 @@
   "memory_lost",
 ];
 
-/** Longest sequence of events that is explored. */
+/** Maximum length of the explored event sequences. */
 const DEPTH = 8;
 
 function replay(
   repeatability: "at_most_once" | "repeatable",
   types: readonly AttemptEvent["type"][],
-): AttemptTruth {
-  const truth = new AttemptTruth(repeatability);
-  types.forEach((type) => truth.handle({ type }));
-  return truth;
+): AttemptTracker {
+  const tracker = new AttemptTracker(repeatability);
+  types.forEach((type) => tracker.handle({ type }));
+  return tracker;
 }
 
 /**
- * What really happened at backend servers, told by the events alone: a send
- * that was written may have begun a run unless the server rejected it, or it
- * carried the memory of a run that had stopped.
+ * Counts the runs that may have started at backend servers, from the events
+ * alone. A written send may have started a run, unless it was not written after
+ * all, the server rejected it, or it carried the memory of a suspended run.
  */
-function mayHaveRun(types: readonly AttemptEvent["type"][]): number {
-  return types.reduce<{ begins: number; kept: boolean; runs: number }>(
-    (world, type) => {
+function countPossibleRuns(types: readonly AttemptEvent["type"][]): number {
+  return types.reduce<{ startedRuns: number; kept: boolean; runs: number }>(
+    (counted, type) => {
       if (type === "written") {
-        const begins = world.kept ? 0 : 1;
-        return { ...world, begins, runs: world.runs + begins };
+        const begins = counted.kept ? 0 : 1;
+        return { ...counted, startedRuns: begins, runs: counted.runs + begins };
       }
-      if (type === "stopped") return { ...world, begins: 0, kept: true };
+      if (type === "stopped") return { ...counted, startedRuns: 0, kept: true };
       if (type === "not_written" || type === "rejected") {
-        return { ...world, begins: 0, runs: world.runs - world.begins };
+        return {
+          ...counted,
+          startedRuns: 0,
+          runs: counted.runs - counted.startedRuns,
+        };
       }
       const ended = type === "lost" || type === "memory_lost";
       return ended || type === "answered"
-        ? { ...world, begins: 0, kept: false }
-        : world;
+        ? { ...counted, startedRuns: 0, kept: false }
+        : counted;
     },
-    { begins: 0, kept: false, runs: 0 },
+    { startedRuns: 0, kept: false, runs: 0 },
   ).runs;
 }
 
-/** All sequences up to the depth, each a real order of events. */
+/** All possible event sequences up to the depth. */
 function sequences(): readonly (readonly AttemptEvent["type"][])[] {
   let all: readonly (readonly AttemptEvent["type"][])[] = [[]];
   let last = all;
@@ -94,63 +97,66 @@
   return allowed[state]?.includes(type) ?? false;
 }
 
-describe("truth about an attempt", () => {
+describe("attempt tracker", () => {
   const explored = sequences();
 
-  test("explores a number of orders worth the name", () => {
+  test("explores more than 300 event sequences", () => {
     expect(explored.length).toBeGreaterThan(300);
   });
 
-  test("says not run only when no server can have run it", () => {
+  test("reports a request as not run only if no server can have run it", () => {
     const wrong = explored.filter(
       (sequence) =>
-        replay("at_most_once", sequence).surelyNotRun &&
-        (mayHaveRun(sequence) > 0 || sequence.at(-1) === "written"),
+        replay("at_most_once", sequence).certainlyNotRun &&
+        (countPossibleRuns(sequence) > 0 || sequence.at(-1) === "written"),
     );
     expect(wrong).toEqual([]);
   });
 
-  test("never sends what may have run when it must not be repeated", () => {
+  test("never sends a non-repeatable request that may have run", () => {
     const wrong = explored.filter(
       (sequence) =>
-        replay("at_most_once", sequence).maySend(9) && mayHaveRun(sequence) > 0,
+        replay("at_most_once", sequence).canSend(9) &&
+        countPossibleRuns(sequence) > 0,
     );
     expect(wrong).toEqual([]);
   });
 
-  test("a wrong rule is found: a lost send taken for not run", () => {
-    const forgiving = (sequence: readonly AttemptEvent["type"][]) =>
+  test("detects a wrong rule: a lost send counted as not run", () => {
+    const permissive = (sequence: readonly AttemptEvent["type"][]) =>
       replay(
         "at_most_once",
         sequence.map((type) => (type === "lost" ? "rejected" : type)),
       );
     const wrong = explored.filter(
       (sequence) =>
-        forgiving(sequence).surelyNotRun && mayHaveRun(sequence) > 0,
+        permissive(sequence).certainlyNotRun && countPossibleRuns(sequence) > 0,
     );
     expect(wrong.length).toBeGreaterThan(0);
   });
 
-  test("a repeatable request stays within the runs that its route allows", () => {
-    const truth = replay("repeatable", ["written", "lost"]);
-    expect(truth.maySend(1)).toBe(false);
-    expect(truth.maySend(2)).toBe(true);
+  test("limits a repeatable request to the runs that its route allows", () => {
+    const tracker = replay("repeatable", ["written", "lost"]);
+    expect(tracker.canSend(1)).toBe(false);
+    expect(tracker.canSend(2)).toBe(true);
   });
 
-  test("a stopped run goes on from its memory, and never begins anew", () => {
+  test("resumes a suspended run from its memory, and never restarts it", () => {
     const wrong = explored.filter((sequence) => {
-      const truth = replay("at_most_once", sequence);
-      return truth.mayGoOn && (truth.maySend(9) || truth.surelyNotRun);
+      const tracker = replay("at_most_once", sequence);
+      return (
+        tracker.canResume && (tracker.canSend(9) || tracker.certainlyNotRun)
+      );
     });
     expect(wrong).toEqual([]);
-    const truth = replay("at_most_once", ["written", "answered", "stopped"]);
-    expect(truth.mayGoOn).toBe(true);
+    const tracker = replay("at_most_once", ["written", "answered", "stopped"]);
+    expect(tracker.canResume).toBe(true);
   });
 
   test.each(["rejected", "not_written"] as const)(
-    "a send of kept memory that was %s leaves the run as it was",
+    "does not change a suspended run if the send of its memory was %s",
     (type) => {
-      const truth = replay("at_most_once", [
+      const tracker = replay("at_most_once", [
         "written",
         "answered",
         "relayed",
@@ -158,25 +164,26 @@
         "written",
         type,
       ]);
-      expect(truth.possibleRuns).toBe(1);
-      expect(truth.mayGoOn).toBe(true);
+      expect(tracker.possibleRuns).toBe(1);
+      expect(tracker.canResume).toBe(true);
     },
   );
 
-  test("what may be repeated begins anew once the memory is lost", () => {
-    const truth = replay("repeatable", ["written", "stopped", "memory_lost"]);
-    expect(truth.maySend(1)).toBe(false);
-    expect(truth.maySend(2)).toBe(true);
+  test("restarts a repeatable request after its memory is lost", () => {
+    const tracker = replay("repeatable", ["written", "stopped", "memory_lost"]);
+    expect(tracker.canSend(1)).toBe(false);
+    expect(tracker.canSend(2)).toBe(true);
   });
 
-  test("a wrong rule is found: a stop taken for a rejection", () => {
-    const forgiving = (sequence: readonly AttemptEvent["type"][]) =>
+  test("detects a wrong rule: a stop counted as a rejection", () => {
+    const permissive = (sequence: readonly AttemptEvent["type"][]) =>
       replay(
         "at_most_once",
         sequence.map((type) => (type === "stopped" ? "rejected" : type)),
       );
     const wrong = explored.filter(
-      (sequence) => forgiving(sequence).maySend(9) && mayHaveRun(sequence) > 0,
+      (sequence) =>
+        permissive(sequence).canSend(9) && countPossibleRuns(sequence) > 0,
     );
     expect(wrong.length).toBeGreaterThan(0);
   });
--- a/packages/rampswitch-serving/src/attempt/backend_client.ts
+++ b/packages/rampswitch-serving/src/attempt/backend_client.ts
@@ -1,33 +1,33 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * HTTP client of backend servers: one pool of connections for each life of a
- * server, one request at a time on a connection.
+ * HTTP client for backend servers, with one connection pool for each incarnation
+ * of a server and one request at a time on each connection.
  *
  * @module
  */
 import { buildConnector, errors, Pool, type Dispatcher } from "undici";
 import type { RawHeaders } from "../model/request.ts";
 
-/** Why a send ended without a whole answer. */
+/** Why a send ended without a complete answer. */
 export type SendFailure =
-  /** No byte of the request left this host. */
+  /** No byte of the request was sent. */
   | "not_written"
-  /** The connection ended, or what came on it is not HTTP. */
+  /** The connection ended, or the data received on it is not HTTP. */
   | "lost";
 
-/** What happens to a send. */
+/** Receives the events of a send. */
 export interface SendListener {
   /** The request is being written to a connection. */
   written(): void;
   head(status: number, rawHeaders: RawHeaders): void;
   data(chunk: Buffer): void;
-  /** The answer is whole. */
+  /** The answer is complete. */
   ended(): void;
   failed(failure: SendFailure, detail: string): void;
 }
 
-/** A request to write. */
+/** A request to send to a server. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly target: string;
@@ -35,33 +35,33 @@
   readonly body: Buffer | undefined;
 }
 
-/** A send under way. */
+/** A send in progress. */
 export interface Send {
-  /** Closes the connection; the listener hears nothing more. */
+  /** Closes the connection; the listener is not called any more. */
   abort(): void;
   pause(): void;
   resume(): void;
 }
 
 /**
- * Time for a connection to come up, in milliseconds. A few round trips within
- * a region and one lost packet; longer means that the server is out of reach.
+ * Connection timeout, in milliseconds. It allows for a few round trips within a
+ * region and one lost packet; a server that takes longer is unreachable.
  */
 const CONNECT_MILLISECONDS = 500;
 
-/** Safety margin below the idle time that a server tells, in milliseconds. */
+/** Margin subtracted from the idle timeout that a server advertises, in milliseconds. */
 const IDLE_MARGIN_MILLISECONDS = 700;
 
-/** Idle time of connections whose server tells none, in milliseconds. */
+/** Idle timeout of connections whose server advertises none, in milliseconds. */
 const IDLE_MILLISECONDS = 4_000;
 
-/** Connections to one server at its address. */
+/** The connection pool of one server, and the address that it connects to. */
 interface AddressPool {
   readonly address: string;
   readonly pool: Pool;
 }
 
-/** Pools of connections to all backend servers. */
+/** Sends requests to backend servers through one connection pool per server. */
 export class BackendClient implements AsyncDisposable {
   readonly #pools = new Map<string, AddressPool>();
   readonly #ends = new ConnectionEnds();
@@ -85,7 +85,7 @@
     return handler;
   }
 
-  /** Closes idle connections of a server that is gone, or has another address. */
+  /** Closes the idle connections of a server that has ended or changed its address. */
   forget(serverId: string): void {
     const known = this.#pools.get(serverId);
     if (known === undefined) return;
@@ -124,10 +124,10 @@
 }
 
 /**
- * Tells whether the callback that runs now comes from the end of a connection.
- * undici takes that, a reset included, for the end of an answer without a
- * length. A server that is killed ends its connections in the same way, so such
- * an answer can't be told from half of one.
+ * Detects whether the current undici callback was caused by the end of a
+ * connection. undici treats that, including a reset, as the end of an answer
+ * without a length. A killed server ends its connections in the same way, so such
+ * an answer can't be distinguished from a partial one.
  */
 class ConnectionEnds {
   #ending = false;
@@ -137,19 +137,19 @@
     return this.#ending;
   }
 
-  /** Opens connections whose ends are seen before undici sees them. */
+  /** Opens connections whose end is noticed before undici handles it. */
   connector(): buildConnector.connector {
     const open = buildConnector({ timeout: CONNECT_MILLISECONDS });
     return (options, callback) =>
       open(options, (...result) => {
         const [, socket] = result;
-        socket?.on("error", () => this.#note());
-        socket?.on("end", () => this.#note());
+        socket?.on("error", () => this.#markEnding());
+        socket?.on("end", () => this.#markEnding());
         callback(...result);
       });
   }
 
-  #note(): void {
+  #markEnding(): void {
     this.#ending = true;
     queueMicrotask(() => {
       this.#ending = false;
@@ -157,12 +157,12 @@
   }
 }
 
-/** Passes undici's callbacks on until the send is aborted. */
+/** Forwards undici's callbacks to a listener until the send is aborted. */
 class SendHandler implements Dispatcher.DispatchHandler, Send {
   readonly #listener: SendListener;
   readonly #ends: ConnectionEnds;
   #controller: Dispatcher.DispatchController | undefined;
-  #silent = false;
+  #aborted = false;
 
   constructor(listener: SendListener, ends: ConnectionEnds) {
     this.#listener = listener;
@@ -170,8 +170,10 @@
   }
 
   abort(): void {
-    this.#silent = true;
-    this.#controller?.abort(new errors.RequestAbortedError("not needed"));
+    this.#aborted = true;
+    this.#controller?.abort(
+      new errors.RequestAbortedError("the send is not needed any more"),
+    );
   }
 
   pause(): void {
@@ -184,7 +186,7 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    if (this.#silent) controller.abort(new errors.RequestAbortedError());
+    if (this.#aborted) controller.abort(new errors.RequestAbortedError());
     else this.#listener.written();
   }
 
@@ -192,20 +194,24 @@
     controller: Dispatcher.DispatchController,
     statusCode: number,
   ): void {
-    if (this.#silent || statusCode < FINAL_STATUS) return;
-    this.#listener.head(statusCode, textOf(controller.rawHeaders));
+    if (this.#aborted || statusCode < FIRST_FINAL_STATUS) return;
+    this.#listener.head(statusCode, decodeHeaders(controller.rawHeaders));
   }
 
   onResponseData(
     _controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (!this.#silent) this.#listener.data(chunk);
+    if (!this.#aborted) this.#listener.data(chunk);
   }
 
   onResponseEnd(): void {
-    if (this.#silent) return;
-    if (this.#ends.ending) this.#listener.failed("lost", "no length, no end");
+    if (this.#aborted) return;
+    if (this.#ends.ending)
+      this.#listener.failed(
+        "lost",
+        "connection ended an answer without a length",
+      );
     else this.#listener.ended();
   }
 
@@ -213,16 +219,18 @@
     _controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    if (this.#silent) return;
-    this.#silent = true;
+    if (this.#aborted) return;
+    this.#aborted = true;
     const written = this.#controller !== undefined;
     this.#listener.failed(written ? "lost" : "not_written", error.message);
   }
 }
 
-const FINAL_STATUS = 200;
+/** Answers with a lower status are informational. */
+const FIRST_FINAL_STATUS = 200;
 
-function textOf(headers: unknown): RawHeaders {
+/** Decodes undici's raw headers to text. */
+function decodeHeaders(headers: unknown): RawHeaders {
   return Array.isArray(headers)
     ? headers.map((part) =>
         Buffer.isBuffer(part) ? part.toString("latin1") : String(part),
--- a/packages/rampswitch-serving/src/attempt/backend_client_test.ts
+++ b/packages/rampswitch-serving/src/attempt/backend_client_test.ts
@@ -5,8 +5,8 @@
 import { listen, Ownership } from "rampswitch-utils";
 import { BackendClient } from "./backend_client.ts";
 
-/** Sends a request; resolves to the body of its answer, or why there is none. */
-function answerOf(
+/** Sends a request; resolves to the body of its answer, or to the failure. */
+function fetchAnswer(
   client: BackendClient,
   server: { readonly id: string; readonly address: string },
 ): Promise<string> {
@@ -27,7 +27,7 @@
 }
 
 describe("backend client", () => {
-  test("sends to the address that is told now", async () => {
+  test("sends to the current address of a server", async () => {
     await using ownership = new Ownership();
     const listenings = await Promise.all(
       ["former", "present"].map((name) =>
@@ -43,7 +43,7 @@
     const answers: string[] = [];
     for (const listening of sends) {
       const address = listening?.address ?? "";
-      answers.push(await answerOf(client, { id: "s1", address }));
+      answers.push(await fetchAnswer(client, { id: "s1", address }));
     }
     expect(answers).toEqual(["former", "present", "former"]);
   });
--- a/packages/rampswitch-serving/src/attempt/mod.ts
+++ b/packages/rampswitch-serving/src/attempt/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Sends of one request and what is known of them.
+ * Sends one request to backend servers and tracks the state of its attempt.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/relay/admitted_request.ts
+++ b/packages/rampswitch-serving/src/relay/admitted_request.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * A request that passed intake, and what follows from its head and route alone.
+ * A request that passed intake, and the values derived from its head and route.
  *
  * @module
  */
@@ -13,44 +13,47 @@
 export interface AdmittedRequest {
   readonly head: RequestHead;
   readonly body: Buffer | undefined;
-  /** Names the request whichever attempt it is and whichever host takes it. */
+  /** Identifies the request across all its attempts and on all hosts. */
   readonly fingerprint: Fingerprint;
   readonly route: Route;
   readonly service: Service;
   readonly workspace: Workspace | undefined;
-  /** What the workspace's limit was charged. */
+  /** Tokens charged against the workspace's limit. */
   readonly chargedTokens: number;
-  /** When its head was read, on the steady clock. */
+  /** When its head was read, in milliseconds on the monotonic clock. */
   readonly arrivedAt: number;
   readonly configurationVersion: number;
 }
 
-/** Most urgent and least urgent priority that engines know. */
-const ENGINE_PRIORITIES = { most: 0, least: 9 };
+/** Most urgent and least urgent priority that engines support. */
+const ENGINE_PRIORITY_RANGE = { mostUrgent: 0, leastUrgent: 9 };
 
-/** Route priorities that fit between two workspace priorities. */
-const ROUTE_PRIORITIES = 3;
+/** Number of route priorities within one workspace priority. */
+const ROUTE_PRIORITY_LEVELS = 3;
 
-/** Urgency of a request at an engine: workspace first, then route. */
+/** Priority of a request at an engine: by workspace first, then by route. */
 export function enginePriority(request: AdmittedRequest): number | undefined {
   if (request.service.engine === undefined) return undefined;
   const workspace = request.workspace?.priority ?? 0;
-  const route = Math.min(request.route.priority, ROUTE_PRIORITIES - 1);
+  const route = Math.min(request.route.priority, ROUTE_PRIORITY_LEVELS - 1);
   return Math.min(
-    ENGINE_PRIORITIES.least,
-    Math.max(ENGINE_PRIORITIES.most, workspace * ROUTE_PRIORITIES + route),
+    ENGINE_PRIORITY_RANGE.leastUrgent,
+    Math.max(
+      ENGINE_PRIORITY_RANGE.mostUrgent,
+      workspace * ROUTE_PRIORITY_LEVELS + route,
+    ),
   );
 }
 
-/** Longest time for which a request may be held, in milliseconds. */
-export function limitMilliseconds(request: AdmittedRequest): number {
+/** Time limit of a request, in milliseconds: the shorter of deadline and timeout. */
+export function timeLimitMilliseconds(request: AdmittedRequest): number {
   return Math.min(
     request.head.deadlineMilliseconds ?? Infinity,
     request.route.timeoutMilliseconds,
   );
 }
 
-/** Tokens of a request's prompt, as far as the caller tells. */
+/** Tokens in a request's prompt, as far as its head gives them. */
 export function promptTokens(head: RequestHead): number {
   return (
     head.promptTokens ??
--- a/packages/rampswitch-serving/src/relay/caller_answer.ts
+++ b/packages/rampswitch-serving/src/relay/caller_answer.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The answer to one caller: at most one head, bytes in order with back
- * pressure, and an end that looks whole only when it is.
+ * Writes the answer to one caller: at most one head, the body in order with back
+ * pressure, and a regular end only if the answer is complete.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import { breakOff } from "rampswitch-utils";
 import type { RawHeaders } from "../model/request.ts";
 
-/** Writes one answer. */
+/** The answer to one caller. */
 export class CallerAnswer {
   readonly #response: ServerResponse;
   readonly #endsConnection: () => boolean;
@@ -23,72 +23,72 @@
     this.#endsConnection = endsConnection;
   }
 
-  /** Whether the answer has ended, whole or not. */
+  /** Whether the answer has ended, complete or not. */
   get finished(): boolean {
     return this.#finished;
   }
 
   /** Whether the answer goes out on a connection. */
-  isOn(connection: Socket): boolean {
+  isOnConnection(connection: Socket): boolean {
     return this.#response.socket === connection;
   }
 
-  /** Whether the head went out. */
+  /** Whether the head was sent. */
   get started(): boolean {
     return this.#response.headersSent;
   }
 
-  /** The status that the caller was told, if any. */
+  /** The status that was sent to the caller, if any. */
   get status(): number | undefined {
     return this.#status;
   }
 
-  /** Writes the head of an answer whose body follows in pieces. */
+  /** Writes the head of an answer whose body follows in chunks. */
   begin(status: number, headers: RawHeaders): void {
     if (this.#finished || this.started) return;
     this.#writeHead(status, headers);
     this.#response.flushHeaders();
   }
 
-  /** Writes a piece; tells whether the caller keeps up. */
+  /** Writes a chunk; `false` if the source should pause until the caller has read it. */
   write(bytes: Buffer): boolean {
     if (this.#finished) return true;
     return this.#response.write(bytes);
   }
 
-  /** Calls back once when a caller that fell behind has caught up. */
+  /** Calls back once when the caller has read what was buffered. */
   onceDrained(callback: () => void): void {
     this.#response.once("drain", callback);
   }
 
-  /** Ends an answer that is whole. */
+  /** Ends a complete answer. */
   end(): void {
     if (this.#finished) return;
     this.#finished = true;
     this.#response.end();
   }
 
-  /** Answers whole at once. */
-  whole(status: number, headers: RawHeaders, body: Buffer): void {
+  /** Sends a complete answer at once. */
+  sendWhole(status: number, headers: RawHeaders, body: Buffer): void {
     if (this.#finished) return;
     this.#finished = true;
     this.#writeHead(status, [
-      ...withoutLength(headers),
+      ...withoutContentLength(headers),
       "Content-Length",
       String(body.length),
     ]);
     this.#response.end(body);
   }
 
-  /** Breaks an answer off so that it can't be taken for a whole one. */
-  breakOff(): void {
+  /** Aborts the answer so that it can't be mistaken for a complete one. */
+  abort(): void {
     if (this.#finished) return;
     this.#finished = true;
     breakOff(this.#response);
   }
 
-  /** Notes that the caller is gone. */
-  abandoned(): void {
+  /** Records that the caller has disconnected. */
+  markAbandoned(): void {
     this.#finished = true;
   }
 
@@ -99,7 +99,7 @@
   }
 }
 
-function withoutLength(headers: RawHeaders): RawHeaders {
+function withoutContentLength(headers: RawHeaders): RawHeaders {
   return headers.filter((_, index) => {
     const name = headers[index - (index % 2)];
     return name?.toLowerCase() !== "content-length";
--- a/packages/rampswitch-serving/src/relay/event_framer.ts
+++ b/packages/rampswitch-serving/src/relay/event_framer.ts
@@ -1,19 +1,19 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Cuts a stream of server-sent events at the ends of whole events, so that a
- * stream that broke off can go on elsewhere without a torn or doubled event.
+ * Splits a stream of server-sent events at event boundaries, so that a broken
+ * stream can resume at another server without partial or duplicate events.
  *
  * @module
  */
 
-/** Whole events from the start of what was pushed. */
+/** Complete events from the start of the buffered stream. */
 export interface Frames {
   readonly bytes: Buffer;
   readonly count: number;
-  /** First id among the events, where one has an id. */
+  /** First id among the events; `undefined` if none has an id. */
   readonly firstId: string | undefined;
-  /** Last id among the events, where one has an id. */
+  /** Last id among the events; `undefined` if none has an id. */
   readonly lastId: string | undefined;
 }
 
@@ -26,26 +26,28 @@
 const END_OF_EVENT = "\n\n";
 const ID_FIELD = /^id: ?(.*)$/m;
 
-/** Collects pieces of a stream into whole events. */
+/** Assembles the chunks of a stream into complete events. */
 export class EventFramer {
-  #rest: Buffer = Buffer.alloc(0);
+  #pending: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
+  /** Bytes of an event that is not complete yet. */
   get pendingBytes(): number {
-    return this.#rest.length;
+    return this.#pending.length;
   }
 
-  /** Takes in a piece; returns the events that are whole now. */
-  push(piece: Buffer): Frames {
+  /** Adds a chunk; returns the events that are now complete. */
+  push(chunk: Buffer): Frames {
     const all =
-      this.#rest.length === 0 ? piece : Buffer.concat([this.#rest, piece]);
+      this.#pending.length === 0
+        ? chunk
+        : Buffer.concat([this.#pending, chunk]);
     const end = all.lastIndexOf(END_OF_EVENT);
     if (end < 0) {
-      this.#rest = all;
+      this.#pending = all;
       return NO_FRAMES;
     }
     const cut = end + END_OF_EVENT.length;
-    this.#rest = all.subarray(cut);
+    this.#pending = all.subarray(cut);
     const bytes = all.subarray(0, cut);
     const events = bytes.toString("latin1").slice(0, end).split(END_OF_EVENT);
     const ids = events
@@ -59,23 +61,23 @@
     };
   }
 
-  /** Forgets an event that broke off. */
+  /** Discards an incomplete event. */
   reset(): void {
-    this.#rest = Buffer.alloc(0);
+    this.#pending = Buffer.alloc(0);
   }
 }
 
 const COUNTER = /^\d+$/;
 
 /**
- * Whether an event comes after another one by their ids. Ids that are not
- * counters, or missing, tell nothing and pass.
+ * Whether an event comes after another one, by their ids. Ids that are missing
+ * or are not counters can't be compared, and count as in order.
  */
-export function comesAfter(
+export function isAfter(
   id: string | undefined,
-  former: string | undefined,
+  previous: string | undefined,
 ): boolean {
-  if (id === undefined || former === undefined) return true;
-  if (!COUNTER.test(id) || !COUNTER.test(former)) return true;
-  return BigInt(id) > BigInt(former);
+  if (id === undefined || previous === undefined) return true;
+  if (!COUNTER.test(id) || !COUNTER.test(previous)) return true;
+  return BigInt(id) > BigInt(previous);
 }
--- a/packages/rampswitch-serving/src/relay/event_framer_test.ts
+++ b/packages/rampswitch-serving/src/relay/event_framer_test.ts
@@ -2,15 +2,15 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { comesAfter, EventFramer } from "./event_framer.ts";
+import { isAfter, EventFramer } from "./event_framer.ts";
 
 const EVENTS = Array.from(
   { length: 9 },
   (_, index) => `id: ${index + 1}\ndata: é${"x".repeat(index)}\n\n`,
 );
 
-describe("whole events of a stream", () => {
-  test("come out in order whatever the pieces, none torn or doubled", () => {
+describe("event framer", () => {
+  test("returns events in order for any chunk sizes, none partial or duplicate", () => {
     const bytes = Buffer.from(EVENTS.join(""));
     fc.assert(
       fc.property(
@@ -36,7 +36,7 @@
     );
   });
 
-  test("tell the first and the last id among them", () => {
+  test("returns the first and the last id of the events", () => {
     const frames = new EventFramer().push(
       Buffer.from("data: a\n\nid: 7\ndata: b\n\nid: 9\ndata: c\n\n"),
     );
@@ -53,10 +53,10 @@
     [undefined, "4", true],
     ["4", undefined, true],
   ])("id %s after %s: %s", (id, former, after) => {
-    expect(comesAfter(id, former)).toBe(after);
+    expect(isAfter(id, former)).toBe(after);
   });
 
-  test("an event that broke off stays out and is told", () => {
+  test("does not return an incomplete event, and counts its bytes as pending", () => {
     const framer = new EventFramer();
     const frames = framer.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
     expect(frames.bytes.toString()).toBe("id: 1\ndata: a\n\n");
--- a/packages/rampswitch-serving/src/relay/own_refusal.ts
+++ b/packages/rampswitch-serving/src/relay/own_refusal.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The answer of this host's own to an admitted request that it can't serve.
+ * Refuses an admitted request that this host can't serve.
  *
  * @module
  */
@@ -10,14 +10,14 @@
 import type { CallerAnswer } from "./caller_answer.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** Callers are asked to come back after this time at least, in seconds. */
-const LEAST_RETRY_AFTER_SECONDS = 0.2;
+/** Shortest time after which callers are asked to retry, in seconds. */
+const MINIMUM_RETRY_AFTER_SECONDS = 0.2;
 
-/** Spread on top, in seconds, so that callers do not come back together. */
+/** Random time added to it, in seconds, so that callers don't retry all at once. */
 const RETRY_AFTER_SPREAD_SECONDS = 0.4;
 
-/** What a refusal is made with. */
-export type RefusalParts = Pick<
+/** The parts of the request context that a refusal uses. */
+export type RefusalContext = Pick<
   RequestContext,
   | "admission"
   | "clock"
@@ -31,14 +31,14 @@
   | "turns"
 >;
 
-/** Answers with a refusal; what a request that did not run was charged goes back. */
+/** Answers with a refusal, and refunds the tokens charged if the request did not run. */
 export function answerRefusal(
   reason: RefusalReason,
   exchange: {
     readonly request: AdmittedRequest;
     readonly answer: CallerAnswer;
   },
-  parts: RefusalParts,
+  parts: RefusalContext,
 ): void {
   const { request, answer } = exchange;
   const { status, notRun } = REFUSALS[reason];
@@ -54,41 +54,49 @@
       ? retryAfterSeconds(reason, request, parts)
       : undefined,
   });
-  answer.whole(status, headers, Buffer.alloc(0));
+  answer.sendWhole(status, headers, Buffer.alloc(0));
 }
 
 /**
- * Not before a quarantined request may run as a trial, nor before a turn is free at
- * a server that names a limit, nor before a rest ends where all servers rest.
+ * Time after which the caller is asked to retry, in seconds: not before a
+ * quarantined request may run as a trial, not before a permit is free if only
+ * limited servers are left, and not before the first back-off ends if all servers
+ * have asked for one.
  */
 function retryAfterSeconds(
   reason: RefusalReason,
   request: AdmittedRequest,
-  parts: RefusalParts,
+  parts: RefusalContext,
 ): number {
   const decision = parts.quarantine.decide(request.fingerprint);
   const trial = decision.kind === "held" ? decision.waitMilliseconds : 0;
-  const turn = WAITS[reason]?.(request, parts) ?? 0;
+  const reasonWait = WAIT_BY_REASON[reason]?.(request, parts) ?? 0;
   return (
-    Math.max(LEAST_RETRY_AFTER_SECONDS, trial / 1_000, turn / 1_000) +
+    Math.max(MINIMUM_RETRY_AFTER_SECONDS, trial / 1_000, reasonWait / 1_000) +
     RETRY_AFTER_SPREAD_SECONDS * parts.random.next()
   );
 }
 
-/** Waits in milliseconds that follow from the reason. */
-const WAITS: Readonly<
+/** Wait for a refusal's reason, in milliseconds. */
+const WAIT_BY_REASON: Readonly<
   Partial<
     Record<
       RefusalReason,
-      (request: AdmittedRequest, parts: RefusalParts) => number
+      (request: AdmittedRequest, parts: RefusalContext) => number
     >
   >
-> = { servers_limited: turnMilliseconds, servers_resting: restMilliseconds };
+> = {
+  servers_limited: permitWaitMilliseconds,
+  servers_resting: backOffWaitMilliseconds,
+};
 
-/** Each caller is told a time of its own, as fast as the servers could serve them. */
-function restMilliseconds(
+/**
+ * Wait until the servers' back-offs end, in milliseconds. Each caller gets a time
+ * of its own, so that retries come no faster than the servers can serve them.
+ */
+function backOffWaitMilliseconds(
   { service }: AdmittedRequest,
-  { clock, directory, holdTimes, hosts, restWaits }: RefusalParts,
+  { clock, directory, holdTimes, hosts, restWaits }: RefusalContext,
 ): number {
   const now = clock.now();
   const ready = directory.of(service.name).filter(({ isReady }) => isReady);
@@ -99,9 +107,10 @@
   return restWaits.tell(service.name, { perSecond, hosts: hosts() }, now);
 }
 
-function turnMilliseconds(
+/** Wait until a permit is free at the limited servers, in milliseconds. */
+function permitWaitMilliseconds(
   { service }: AdmittedRequest,
-  { directory, turns }: RefusalParts,
+  { directory, turns }: RefusalContext,
 ): number {
   const limited = turns
     .limited(directory.of(service.name))
--- a/packages/rampswitch-serving/src/relay/turn_choice.ts
+++ b/packages/rampswitch-serving/src/relay/permit_choice.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The choice of a server that names a limit, for one send: with a turn that is taken
- * from all hosts' turns, or not at all.
+ * Chooses a limited server for one send. A limited server takes a request only with
+ * a permit, and all hosts share its permits.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import type { TurnReply, TurnUrgency } from "../server_limits/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { RequestContext } from "./request_context.ts";
-import { chooseGiven } from "./send_choice.ts";
+import { choosePermitted } from "./send_choice.ts";
 
-/** Rank of the routes whose requests take the last turn. */
+/** Priority of the routes whose requests may take the last permit. */
 const MOST_URGENT_PRIORITY = 0;
 
-/** What needs a turn. */
-export interface TurnSend {
+/** A send that needs a permit. */
+export interface SendNeedingPermit {
   readonly request: AdmittedRequest;
-  /** Servers that may take it, the preferred ones first. */
+  /** Servers that may take the request, preferred ones first. */
   readonly limited: readonly ServerRecord[];
-  /** Whether a run goes on with it that is lost otherwise. */
+  /** Whether the send continues a run that would be lost without it. */
   readonly continues?: boolean;
 }
 
-/** Takes a turn at one of some servers; `undefined` where none is free. */
-export async function chooseWithTurn(
-  send: TurnSend,
+/** Takes a permit at one of the servers; `undefined` if none is free. */
+export async function chooseWithPermit(
+  send: SendNeedingPermit,
   context: RequestContext,
 ): Promise<Choice | undefined> {
   if (send.limited.length === 0) return undefined;
@@ -35,35 +35,40 @@
     servers: send.limited.map(({ entry }) => entry.id),
     urgency: urgencyOf(send),
   });
-  return chosenBy(reply, send, context);
+  return choiceFromReply(reply, send, context);
 }
 
 /**
- * The choice of a limited server that has said nothing for a while, where this host
- * gives its turns; `undefined` where none is due.
+ * Chooses a limited server that has been silent for a while, if this host gives its
+ * permits; `undefined` if no probe is due. The answer shows whether the server still
+ * has its limit.
  */
 export function chooseProbe(
-  send: TurnSend,
+  send: SendNeedingPermit,
   context: RequestContext,
 ): Choice | undefined {
   if (send.limited.length === 0) return undefined;
   const { name } = send.request.service;
-  return chosenBy(context.turns.probe(name, send.limited), send, context);
+  return choiceFromReply(
+    context.turns.probe(name, send.limited),
+    send,
+    context,
+  );
 }
 
-function chosenBy(
+function choiceFromReply(
   reply: TurnReply,
-  { request, limited }: TurnSend,
+  { request, limited }: SendNeedingPermit,
   context: RequestContext,
 ): Choice | undefined {
   if (reply.kind === "wait") return undefined;
   const record = limited.find(({ entry }) => entry.id === reply.server);
   return record === undefined
     ? undefined
-    : chooseGiven(record, request, context);
+    : choosePermitted(record, request, context);
 }
 
-function urgencyOf({ request, continues }: TurnSend): TurnUrgency {
+function urgencyOf({ request, continues }: SendNeedingPermit): TurnUrgency {
   if (continues === true) return "continuation";
   return request.route.priority === MOST_URGENT_PRIORITY
     ? "urgent"
--- a/packages/rampswitch-serving/src/relay/request_context.ts
+++ b/packages/rampswitch-serving/src/relay/request_context.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What all requests of one host share.
+ * The parts and settings that all requests of one host share.
  *
  * @module
  */
@@ -26,28 +26,28 @@
 import type { HoldTimes } from "./hold_times.ts";
 import type { ReadingRates } from "./reading_rates.ts";
 
-/** What a host knows of the configuration at one moment. */
+/** A host's view of the configuration at one moment. */
 export interface ConfigurationView {
   readonly routes: RouteIndex | undefined;
-  /** Milliseconds since the store confirmed it; infinite before that. */
+  /** Milliseconds since the store confirmed it; infinite before the first time. */
   readonly ageMilliseconds: number;
-  /** Whether requests with a key may be served on it. */
+  /** Whether its keys may be used to serve requests. */
   readonly keysTrusted: boolean;
 }
 
 /** A prompt that was sent to an engine. */
 export interface Dispatch {
   readonly service: string;
-  /** Parts that other requests may share. */
+  /** Prompt parts that other requests may share. */
   readonly parts: readonly PromptPart[];
-  /** Tokens that the engine is thought to have to read. */
+  /** Estimated tokens that the engine has to read. */
   readonly unreadTokens: number;
 }
 
-/** Parts and views that the pipeline works with. */
+/** What the request pipeline works with. */
 export interface RequestContext {
   readonly dataHall: string;
-  /** A steady clock; it never jumps. */
+  /** A monotonic clock; it never jumps. */
   readonly clock: Clock;
   readonly random: Random;
   readonly codec: WireCodec;
@@ -64,28 +64,28 @@
   readonly quarantine: Quarantine;
   readonly rollouts: Rollouts;
   readonly turns: ServerTurns;
-  /** What callers were told who may come back after servers' rests. */
+  /** Retry times given to callers that were refused during servers' back-offs. */
   readonly restWaits: TurnWaits;
   readonly statements: StatementReader;
   readonly metrics: ServingMetrics;
   readonly logger: Logger;
   configuration(): ConfigurationView;
-  /** Hosts of the system that may be serving. */
+  /** Number of hosts in the fleet that may be serving. */
   hosts(): number;
-  /** The same, and no fewer than are listed; `undefined` before a list was read. */
+  /** The same, at least the listed ones; `undefined` before the list was read. */
   listedHosts(): number | undefined;
-  /** Time that a leaving server serves on after its announcement, in ms. */
+  /** Time that a leaving server keeps serving after its announcement, in milliseconds. */
   drainMilliseconds(): number;
-  /** Age of what this host knows of the others' work, in milliseconds. */
+  /** Age of this host's information on other hosts' work, in milliseconds. */
   newsLagMilliseconds(): number;
-  /** Whether this host hears which prompts the others sent where. */
+  /** Whether other hosts report to this host which prompts they sent to which server. */
   hearsDispatches(): boolean;
-  /** Whether this host still starts requests. */
+  /** Whether this host still accepts new requests. */
   startsRequests(): boolean;
-  /** Whether callers should go elsewhere with their next request. */
+  /** Whether answers close the connection, so that callers go to another host. */
   endsConnections(): boolean;
-  /** A request of a workspace began to run. */
+  /** Called when a request of a workspace starts to run. */
   began(workspace: string): void;
-  /** A server was sent a prompt with these parts. */
+  /** Called when a prompt was sent to a server. */
   dispatched(server: ServerRecord, dispatch: Dispatch): void;
 }
--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -1,16 +1,16 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One request from admission to its answer: sends, resends, relay, time limits
- * and the final outcome. What may be sent again and what may be said follows
- * from the attempt's truth alone.
+ * Handles one request from admission to its answer: sends, resends, relay, time
+ * limits and the final outcome. The state of the attempt alone decides whether
+ * the request may be sent again and which answers the caller may get.
  *
  * @module
  */
 import type { ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { ResendAsked, ResendKind } from "../admission/mod.ts";
-import { AttemptTruth, type Send } from "../attempt/mod.ts";
+import { AttemptTracker, type Send } from "../attempt/mod.ts";
 import type { Choice, ServerRecord, StartedWork } from "../choice/mod.ts";
 import {
   REFUSALS,
@@ -21,12 +21,12 @@
 import {
   type AdmittedRequest,
   enginePriority,
-  limitMilliseconds,
+  timeLimitMilliseconds,
   promptTokens,
 } from "./admitted_request.ts";
 import { CallerAnswer } from "./caller_answer.ts";
-import { comesAfter, EventFramer } from "./event_framer.ts";
-import { HeldBody } from "./held_body.ts";
+import { isAfter, EventFramer } from "./event_framer.ts";
+import { BufferedBody } from "./buffered_body.ts";
 import { answerRefusal } from "./own_refusal.ts";
 import {
   learnHoldTime,
@@ -46,60 +46,62 @@
 import { StallWatch } from "./stall_watch.ts";
 
 /**
- * A repeatable plain request is sent elsewhere after this multiple of the
- * route's target without an answer; twice the target leaves room for a queue.
+ * A repeatable plain request is sent to another server after this multiple of
+ * the route's target time without an answer. Twice the target allows for time
+ * in a queue.
  */
-const PLAIN_STALL_TARGETS = 2;
+const PLAIN_STALL_TARGET_MULTIPLE = 2;
 
-/** The same for the first event of a resumable stream. */
-const STREAM_STALL_TARGETS = 2.5;
+/** The same multiple for the first event of a resumable stream. */
+const STREAM_STALL_TARGET_MULTIPLE = 2.5;
 
-const FIRST_SERVER_ERROR = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
-/** Status of a server that is not the one that was named. */
-const MISDIRECTED = 421;
+/** Status of a server that is not the one that the request names. */
+const MISDIRECTED_STATUS = 421;
 
-const NOT_SURELY_DOWN = { surelyDown: false };
+/** A failure after which the server may still be up. */
+const POSSIBLY_UP = { surelyDown: false };
 
-/** One send under way. */
+/** A send in progress. */
 interface CurrentSend extends TimedSend {
   readonly send: Send;
   readonly work: StartedWork;
   firstPartAt?: number;
 }
 
-/** A further send that is wanted. */
-interface AskedAgain {
+/** A further send that is wanted, but not granted yet. */
+interface WantedResend {
   readonly reason: ResendReason;
-  /** The answer where none can be made. */
-  readonly otherwise: RefusalReason;
-  /** Hears where it went. */
+  /** Refusal that the caller gets if the send can't be made. */
+  readonly fallback: RefusalReason;
+  /** Called with the server that the request was sent to. */
   sent(next: ServerRecord): void;
 }
 
-/** The life of one admitted request. */
+/** Handles one admitted request until its caller has an answer. */
 export class RequestRun {
   readonly request: AdmittedRequest;
   readonly #context: RequestContext;
   readonly #answer: CallerAnswer;
   readonly #record: RunRecord;
-  readonly #truth: AttemptTruth;
+  readonly #tracker: AttemptTracker;
   readonly #rules: ResendRules;
   readonly #framer = new EventFramer();
-  /** Lives of servers that were sent the request. */
+  /** Server incarnations that the request was sent to. */
   readonly #tried = new Set<string>();
   readonly #deadlineAt: number;
   readonly #onFinished: (run: RequestRun) => void;
   #current: CurrentSend | undefined;
   #head: AnswerHead | undefined;
-  readonly #held = new HeldBody();
+  readonly #bufferedBody = new BufferedBody();
   #lastEventId: string | undefined;
-  /** Id of the last event of this answer. */
-  #relayedId: string | undefined;
-  readonly #move: RunMove;
-  readonly #chooser: SendChooser;
+  /** Id of the last event that was relayed in this answer. */
+  #lastRelayedId: string | undefined;
+  readonly #migration: RunMove;
+  readonly #sendChooser: SendChooser;
   #cancelDeadline: () => void = () => undefined;
-  readonly #stall: StallWatch;
+  readonly #stallWatch: StallWatch;
   #failureAnswer: { head: AnswerHead; body: Buffer } | undefined;
 
   constructor(
@@ -114,15 +116,15 @@
     this.#context = context;
     this.#onFinished = exchange.onFinished;
     this.#record = new RunRecord(request, context);
-    this.#stall = new StallWatch(context.clock, () => this.#stalled());
+    this.#stallWatch = new StallWatch(context.clock, () => this.#handleStall());
     this.#answer = new CallerAnswer(exchange.response, () =>
       context.endsConnections(),
     );
-    this.#truth = new AttemptTruth(
+    this.#tracker = new AttemptTracker(
       request.route.resumable ? "repeatable" : request.route.repeatability,
     );
-    this.#rules = new ResendRules(request, this.#truth, context);
-    this.#chooser = new SendChooser(
+    this.#rules = new ResendRules(request, this.#tracker, context);
+    this.#sendChooser = new SendChooser(
       {
         request,
         tried: this.#tried,
@@ -130,20 +132,20 @@
       },
       context,
     );
-    this.#move = new RunMove(this.#movable(), context);
+    this.#migration = new RunMove(this.#migratableRun(), context);
     this.#lastEventId = request.head.lastEventId;
-    this.#deadlineAt = request.arrivedAt + limitMilliseconds(request);
+    this.#deadlineAt = request.arrivedAt + timeLimitMilliseconds(request);
     exchange.response.on("close", () => {
-      if (!exchange.response.writableFinished) this.#callerLeft();
+      if (!exchange.response.writableFinished) this.#handleCallerDisconnect();
     });
   }
 
-  /** The server that works on the request now. */
+  /** The server that the request is at now. */
   get server(): ServerRecord | undefined {
     return this.#current?.choice.record;
   }
 
-  /** Whether it is a stream whose memory may move to another engine. */
+  /** Whether it is a stream whose KV-cache memory can migrate to another engine. */
   get movable(): boolean {
     return (
       this.request.route.streaming &&
@@ -151,37 +153,40 @@
     );
   }
 
-  /** Whether its caller is on a connection. */
+  /** Whether the answer goes out on a connection. */
   isAskedOn(connection: Socket): boolean {
-    return this.#answer.isOn(connection);
+    return this.#answer.isOnConnection(connection);
   }
 
-  /** Starts the first send. */
+  /** Starts the deadline and the first send. */
   start(): void {
     const wait = this.#deadlineAt - this.#now();
     this.#cancelDeadline = this.#context.clock.after(Math.max(0, wait), () =>
-      this.#timedOut(),
+      this.#handleTimeout(),
     );
-    this.#context.budget.requested(this.request.service.name, this.#asked());
-    this.#sendToBest();
+    this.#context.budget.requested(
+      this.request.service.name,
+      this.#budgetQuery(),
+    );
+    this.#chooseFirstSend();
   }
 
-  /** Moves a running stream to another engine, memory and all. */
+  /** Migrates a running stream to another engine, with its memory. */
   moveAway(): Promise<void> {
-    return this.#move.moveAway();
+    return this.#migration.moveAway();
   }
 
   /**
-   * A life of a server has ended, as its next one tells. What ran there has
-   * stopped, also where the connection has not broken yet.
+   * Handles the end of a server's incarnation, known from the start of its next
+   * one. Whatever ran there has stopped, even if the connection is still open.
    */
   serverEnded(record: ServerRecord): void {
     if (this.server !== record) return;
-    this.#lost("connection_lost", "server started again");
+    this.#handleLoss("connection_lost", "server started again");
   }
 
-  /** What a move knows of this run, and has it do. */
-  #movable(): MovableRun {
+  /** This run, as its migrations see it. */
+  #migratableRun(): MovableRun {
     return {
       attemptId: this.request.head.attemptId,
       record: this.#record,
@@ -189,20 +194,20 @@
       finished: () => this.#answer.finished,
       lastEventId: () => this.#lastEventId,
       remaining: () => this.#remaining(),
-      choose: () => this.#chooser.forMove(),
-      spend: (kind) => this.#spend(kind),
-      notRepeated: (...told) => this.#notRepeated(...told),
+      choose: () => this.#sendChooser.chooseForMigration(),
+      spend: (kind) => this.#spendBudget(kind),
+      notRepeated: (...inputs) => this.#recordNotRepeated(...inputs),
       stopped: () => {
-        this.#endCurrent(true);
-        this.#truth.handle({ type: "stopped" });
+        this.#endCurrentSend(true);
+        this.#tracker.handle({ type: "stopped" });
       },
-      sendOn: (choice, memory) => this.#sendOn(choice, memory),
+      sendOn: (choice, memory) => this.#sendContinuation(choice, memory),
       memoryLost: (reason) => {
-        // Only what may be repeated begins anew.
-        this.#truth.handle({ type: "memory_lost" });
+        // The resend rules restart only a request that may be repeated.
+        this.#tracker.handle({ type: "memory_lost" });
         this.#resend(reason, "unknown_outcome");
       },
-      lost: () => this.#lost("stream_broken", "move failed"),
+      lost: () => this.#handleLoss("stream_broken", "migration failed"),
     };
   }
 
@@ -214,31 +219,31 @@
     return this.#deadlineAt - this.#now();
   }
 
-  #sendToBest(): void {
-    this.#chooser.first({
+  #chooseFirstSend(): void {
+    this.#sendChooser.chooseForFirstSend({
       chosen: (choice) => this.#sendFirst(choice),
       none: (reason) => this.#giveUp(reason),
     });
   }
 
-  /** Goes on from kept memory; a limited server needs a turn for it. */
-  #sendOn(choice: Choice, memory: MemorySource): void {
-    const may = this.#chooser.mayGoOnAt(choice);
-    if (may === true) this.#sendTo(choice, memory);
-    else void this.#sendOnOnce(may, { choice, memory });
+  /** Resumes the run from retained memory; a limited server needs a permit. */
+  #sendContinuation(choice: Choice, memory: MemorySource): void {
+    const allowed = this.#sendChooser.canContinueAt(choice);
+    if (allowed === true) this.#sendTo(choice, memory);
+    else void this.#sendOncePermitted(allowed, { choice, memory });
   }
 
-  async #sendOnOnce(
-    may: boolean | Promise<boolean>,
+  async #sendOncePermitted(
+    permitted: boolean | Promise<boolean>,
     {
       choice,
       memory,
     }: { readonly choice: Choice; readonly memory: MemorySource },
   ): Promise<void> {
-    const hasTurn = await may;
+    const hasPermit = await permitted;
     if (this.#answer.finished) return;
-    if (hasTurn) this.#sendTo(choice, memory);
-    else this.#move.goOnAfter("rejected");
+    if (hasPermit) this.#sendTo(choice, memory);
+    else this.#migration.goOnAfter("rejected");
   }
 
   #sendFirst(choice: Choice): void {
@@ -257,7 +262,7 @@
     this.#record.sentTo(record, {
       continues: memorySource !== undefined,
       lastEventId: this.#lastEventId,
-      possibleRuns: this.#truth.possibleRuns,
+      possibleRuns: this.#tracker.possibleRuns,
     });
     const unread = memorySource === undefined ? tokens - choice.keptTokens : 0;
     const work = record.started(Math.max(0, unread));
@@ -293,15 +298,15 @@
         }),
       },
       {
-        written: () => this.#truth.handle({ type: "written" }),
+        written: () => this.#tracker.handle({ type: "written" }),
         head: (status, raw) =>
-          this.#headCame(this.#context.codec.decodeAnswer(status, raw)),
-        data: (chunk) => this.#dataCame(chunk),
-        ended: () => this.#answerEnded(),
+          this.#handleHead(this.#context.codec.decodeAnswer(status, raw)),
+        data: (chunk) => this.#handleData(chunk),
+        ended: () => this.#handleAnswerEnd(),
         failed: (failure, detail) =>
           failure === "not_written"
-            ? this.#notWritten(detail)
-            : this.#lost("connection_lost", detail),
+            ? this.#handleNotWritten(detail)
+            : this.#handleLoss("connection_lost", detail),
       },
     );
     this.#current = {
@@ -311,49 +316,51 @@
       sentAt: this.#now(),
       unreadBefore,
     };
-    this.#stall.start(this.#firstStallMilliseconds());
+    this.#stallWatch.start(this.#firstStallLimitMilliseconds());
   }
 
-  #firstStallMilliseconds(): number {
+  #firstStallLimitMilliseconds(): number {
     const { route } = this.request;
     return (
       route.targetMilliseconds *
-      (route.streaming ? STREAM_STALL_TARGETS : PLAIN_STALL_TARGETS)
+      (route.streaming
+        ? STREAM_STALL_TARGET_MULTIPLE
+        : PLAIN_STALL_TARGET_MULTIPLE)
     );
   }
 
-  /** Goes elsewhere after a silence, where a second run does no harm. */
-  #stalled(): void {
+  /** Sends a stalled request to another server, if it may run a second time. */
+  #handleStall(): void {
     const current = this.#current;
-    if (current === undefined || this.#move.stopping) return;
-    this.#fellSilent(current);
-    if (!this.#rules.mayLeaveRun) return;
-    // A late answer is better than none, where nobody else can give one.
-    if (!this.#chooser.hasOther) {
-      this.#stall.start(this.#firstStallMilliseconds());
+    if (current === undefined || this.#migration.stopping) return;
+    this.#recordUnresponsive(current);
+    if (!this.#rules.canAbandonRun) return;
+    // If no other server can answer, a late answer is better than none.
+    if (!this.#sendChooser.hasAlternative) {
+      this.#stallWatch.start(this.#firstStallLimitMilliseconds());
       return;
     }
-    this.#truth.handle({ type: "lost" });
-    this.#move.drop();
-    this.#endCurrent(true);
+    this.#tracker.handle({ type: "lost" });
+    this.#migration.drop();
+    this.#endCurrentSend(true);
     this.#record.lost("stalled", {
       detail: "silent",
       server: current.choice.record,
-      relayed: this.#truth.relayed,
+      relayed: this.#tracker.relayed,
     });
     this.#resend("stalled", "timed_out", (next) => {
-      if (this.movable) this.#move.stopLeft(current.choice.record, next);
+      if (this.movable) this.#migration.stopLeft(current.choice.record, next);
     });
   }
 
-  #headCame(head: AnswerHead): void {
+  #handleHead(head: AnswerHead): void {
     const current = this.#current;
     if (current === undefined) return;
-    this.#readStatements(head, current.choice.record);
-    const unusable = this.#whyUnusable(head);
+    this.#readAdvertisements(head, current.choice.record);
+    const unusable = this.#unusableReason(head);
     if (unusable !== undefined) {
       current.send.abort();
-      this.#lost("answer_not_usable", unusable);
+      this.#handleLoss("answer_not_usable", unusable);
       return;
     }
     if (head.load !== undefined) {
@@ -365,47 +372,51 @@
     const success = isSuccess(head.status);
     if (success && !head.signed) {
       current.send.abort();
-      this.#lost("answer_not_usable", "not signed");
+      this.#handleLoss("answer_not_usable", "not signed");
       return;
     }
-    const goesOn = this.#truth.state === "resuming";
-    this.#truth.handle({ type: "answered" });
-    this.#move.wentOn();
-    if (!success && this.#answer.started) this.#resumeRefused(head);
-    // The server that stopped the run for a move ends soon all the same.
-    else if (goesOn && current.choice.record.entry.state === "leaving") {
+    const resumes = this.#tracker.state === "resuming";
+    this.#tracker.handle({ type: "answered" });
+    this.#migration.wentOn();
+    if (!success && this.#answer.started) this.#handleFailedResume(head);
+    // The server that stopped the run for a migration still ends soon, so a run
+    // that resumed there must migrate again.
+    else if (resumes && current.choice.record.entry.state === "leaving") {
       void this.moveAway();
     }
   }
 
   /**
-   * Takes in what a server says of itself, also where its answer is of no use.
-   * Whoever answers in the place of a server, or without an id, tells nothing of it.
+   * Reads what a server advertises about itself, even if its answer is unusable.
+   * An answer from another server, or one without an attempt id, is ignored: it
+   * may not come from the server that the request was sent to.
    */
-  #readStatements(head: AnswerHead, record: ServerRecord): void {
-    if (head.status === MISDIRECTED || head.attemptId === undefined) return;
+  #readAdvertisements(head: AnswerHead, record: ServerRecord): void {
+    if (head.status === MISDIRECTED_STATUS || head.attemptId === undefined)
+      return;
     const isLate = head.attemptId !== this.request.head.attemptId;
     this.#context.statements.read(record, head.says, { isLate });
   }
 
   /**
-   * Why an answer counts for nothing. One that does not name this request may be
-   * a late one, in the place of the answer that is due: believed, a rejection
-   * would have a request sent again while its server runs it.
+   * Why an answer is unusable; `undefined` if it is usable. An answer that does
+   * not name this attempt may be a late answer to another one. If such an answer
+   * were a rejection and were accepted, the request would be sent again while its
+   * server still runs it.
    */
-  #whyUnusable(head: AnswerHead): string | undefined {
-    if (head.encoded) return "encoded";
+  #unusableReason(head: AnswerHead): string | undefined {
+    if (head.encoded) return "unexpected content encoding";
     if (head.attemptId === this.request.head.attemptId) return undefined;
-    return head.attemptId === undefined ? "without an id" : "crossed";
+    return head.attemptId === undefined ? "no attempt id" : "crossed";
   }
 
-  /** A server ran a resumed stream's request and answered with a failure. */
-  #resumeRefused(head: AnswerHead): void {
+  /** Handles a failure answer to the request of a resumed stream. */
+  #handleFailedResume(head: AnswerHead): void {
     this.#current?.send.abort();
-    this.#lost("server_error", `status ${head.status}`);
+    this.#handleLoss("server_error", `status ${head.status}`);
   }
 
-  #dataCame(chunk: Buffer): void {
+  #handleData(chunk: Buffer): void {
     const current = this.#current;
     const head = this.#head;
     if (current === undefined || head === undefined) return;
@@ -413,36 +424,38 @@
       this.request.route.streaming &&
       isSuccess(head.status) &&
       !head.notExecuted;
-    if (streams && this.#truth.state === "running") this.#relay(chunk, current);
-    else this.#hold(chunk, current);
+    if (streams && this.#tracker.state === "running")
+      this.#relay(chunk, current);
+    else this.#buffer(chunk, current);
   }
 
-  #hold(chunk: Buffer, current: CurrentSend): void {
-    if (this.#held.push(chunk)) return;
+  #buffer(chunk: Buffer, current: CurrentSend): void {
+    if (this.#bufferedBody.push(chunk)) return;
     current.send.abort();
-    this.#lost("answer_not_usable", "larger than what is held back");
+    this.#handleLoss("answer_not_usable", "body exceeds the buffer limit");
   }
 
   #relay(chunk: Buffer, current: CurrentSend): void {
     const frames = this.#framer.push(chunk);
     if (frames.count === 0) return;
-    if (!this.#answer.started) this.#firstEvent(current);
-    // A server that begins a stream anew must not reach a caller who has a part.
-    else if (!comesAfter(frames.firstId, this.#relayedId)) {
+    if (!this.#answer.started) this.#beginStream(current);
+    // If a server restarts the stream, a caller who already has a part of it must
+    // not get the events again.
+    else if (!isAfter(frames.firstId, this.#lastRelayedId)) {
       current.send.abort();
-      this.#lost("answer_not_usable", "event came before");
+      this.#handleLoss("answer_not_usable", "event id out of order");
       return;
     }
-    this.#truth.handle({ type: "relayed" });
-    this.#relayedId = frames.lastId ?? this.#relayedId;
-    this.#lastEventId = this.#relayedId ?? this.#lastEventId;
-    this.#stall.eventCame();
+    this.#tracker.handle({ type: "relayed" });
+    this.#lastRelayedId = frames.lastId ?? this.#lastRelayedId;
+    this.#lastEventId = this.#lastRelayedId ?? this.#lastEventId;
+    this.#stallWatch.eventReceived();
     if (this.#answer.write(frames.bytes)) return;
     current.send.pause();
     this.#answer.onceDrained(() => current.send.resume());
   }
 
-  #firstEvent(current: CurrentSend): void {
+  #beginStream(current: CurrentSend): void {
     const head = this.#head;
     if (head === undefined) return;
     current.work.readPrompt();
@@ -456,22 +469,22 @@
     this.#answer.begin(head.status, head.forwarded);
   }
 
-  #answerEnded(): void {
+  #handleAnswerEnd(): void {
     const current = this.#current;
     const head = this.#head;
     if (current === undefined || head === undefined) return;
-    if (head.notExecuted) this.#rejected(head);
+    if (head.notExecuted) this.#handleRejection(head);
     else if (this.request.route.streaming && isSuccess(head.status)) {
-      this.#streamEnded(current);
-    } else this.#wholeAnswer(head, current);
+      this.#handleStreamEnd(current);
+    } else this.#handleWholeAnswer(head, current);
   }
 
-  #streamEnded(current: CurrentSend): void {
-    if (this.#framer.pendingBytes > 0 || this.#truth.state !== "running") {
-      this.#lost("stream_broken", "ended within an event");
+  #handleStreamEnd(current: CurrentSend): void {
+    if (this.#framer.pendingBytes > 0 || this.#tracker.state !== "running") {
+      this.#handleLoss("stream_broken", "ended within an event");
       return;
     }
-    if (!this.#answer.started) this.#firstEvent(current);
+    if (!this.#answer.started) this.#beginStream(current);
     const { firstPartAt } = current;
     const stream = { firstPartAt, now: this.#now() };
     learnHoldTime(this.request, stream, this.#context);
@@ -481,250 +494,259 @@
     this.#answer.end();
   }
 
-  #wholeAnswer(head: AnswerHead, current: CurrentSend): void {
-    const body = this.#held.whole();
+  #handleWholeAnswer(head: AnswerHead, current: CurrentSend): void {
+    const body = this.#bufferedBody.toBuffer();
     const answered = { sentAt: current.sentAt, now: this.#now() };
     learnPlainTime(this.request, answered, this.#context);
     this.#record.began();
     this.#context.quarantine.ranWhole(this.request.fingerprint);
-    const failed = head.status >= FIRST_SERVER_ERROR;
-    if (failed) current.choice.record.failed(this.#now(), NOT_SURELY_DOWN);
+    const failed = head.status >= FIRST_SERVER_ERROR_STATUS;
+    if (failed) current.choice.record.failed(this.#now(), POSSIBLY_UP);
     else current.choice.record.succeeded();
-    if (failed && this.#rules.mayLeaveRun) {
+    if (failed && this.#rules.canAbandonRun) {
       this.#failureAnswer = { head, body };
-      this.#truth.handle({ type: "lost" });
-      this.#endCurrent(false);
+      this.#tracker.handle({ type: "lost" });
+      this.#endCurrentSend(false);
       this.#record.lost("server_error", {
         detail: `status ${head.status}`,
         server: current.choice.record,
-        relayed: this.#truth.relayed,
+        relayed: this.#tracker.relayed,
       });
       this.#resend("server_error", "answer_broken");
       return;
     }
     this.#record.firstPart(failed);
     this.#finish(failed ? "server_error" : "completed", head.status);
-    this.#answer.whole(head.status, head.forwarded, body);
+    this.#answer.sendWhole(head.status, head.forwarded, body);
   }
 
-  #rejected(head: AnswerHead): void {
-    this.#truth.handle({ type: "rejected" });
+  #handleRejection(head: AnswerHead): void {
+    this.#tracker.handle({ type: "rejected" });
     const current = this.#current;
-    // The address belongs to another server now, or to none.
-    if (head.status === MISDIRECTED) this.#unreachable(current);
-    else if (current !== undefined) this.#turnedAwayBy(current.choice.record);
-    this.#endCurrent(false);
+    // The address now belongs to another server, or to none.
+    if (head.status === MISDIRECTED_STATUS) this.#recordUnreachable(current);
+    else if (current !== undefined)
+      this.#recordRejection(current.choice.record);
+    this.#endCurrentSend(false);
     this.#context.metrics.event(`rejected_${head.status}`);
     this.#record.rejected(head.status);
-    this.#sendFailed("rejected", "servers_full");
+    this.#resendOrResume("rejected", "servers_full");
   }
 
-  /** A server in need says so already, and is not left out for it besides. */
-  #turnedAwayBy(record: ServerRecord): void {
+  /**
+   * Counts a rejection against its server. A server that asked for a back-off or
+   * advertises a limit already gets fewer requests, and is not also left out.
+   */
+  #recordRejection(record: ServerRecord): void {
     const now = this.#now();
     if (record.rest.holds(now)) return;
     if (this.#context.turns.limitOf(record) !== undefined) return;
     record.rejected(now);
   }
 
-  #notWritten(detail: string): void {
-    this.#truth.handle({ type: "not_written" });
+  #handleNotWritten(detail: string): void {
+    this.#tracker.handle({ type: "not_written" });
     const record = this.#current?.choice.record;
-    this.#unreachable(this.#current);
-    this.#endCurrent(false);
+    this.#recordUnreachable(this.#current);
+    this.#endCurrentSend(false);
     this.#record.lost("not_connected", {
       detail,
       server: record,
-      relayed: this.#truth.relayed,
+      relayed: this.#tracker.relayed,
     });
-    this.#sendFailed("not_connected", "no_server");
+    this.#resendOrResume("not_connected", "no_server");
   }
 
-  #unreachable(current: CurrentSend | undefined): void {
+  #recordUnreachable(current: CurrentSend | undefined): void {
     if (current === undefined) return;
     current.choice.record.failed(this.#now(), { surelyDown: true });
-    this.#move.unreachable(current.choice);
+    this.#migration.unreachable(current.choice);
   }
 
-  /** A send surely ran nothing: what it carried may be sent again. */
-  #sendFailed(reason: ResendReason, otherwise: RefusalReason): void {
-    // A stopped run is still there, so the request must not begin anew.
-    if (this.#truth.mayGoOn) this.#move.goOnAfter(reason);
-    else this.#resend(reason, otherwise);
+  /** Sends the request again after a send that certainly ran nothing. */
+  #resendOrResume(reason: ResendReason, fallback: RefusalReason): void {
+    // A suspended run still exists, so the request must not start a second one.
+    if (this.#tracker.canResume) this.#migration.goOnAfter(reason);
+    else this.#resend(reason, fallback);
   }
 
-  #lost(reason: ResendReason, detail: string): void {
+  #handleLoss(reason: ResendReason, detail: string): void {
     const record = this.#current?.choice.record;
-    if (this.#move.stopping) {
-      this.#move.lostWhileStopping();
+    if (this.#migration.stopping) {
+      this.#migration.lostWhileStopping();
       return;
     }
-    const before = this.#truth.state;
-    this.#truth.handle({ type: "lost" });
+    const before = this.#tracker.state;
+    this.#tracker.handle({ type: "lost" });
     if (record !== undefined) {
-      record.failed(this.#now(), NOT_SURELY_DOWN);
-      this.#rules.lostAt(record);
-      // Before the next send: one request may crash each server that begins it.
+      record.failed(this.#now(), POSSIBLY_UP);
+      this.#rules.recordLoss(record);
+      // Recorded before the next send, since a request may crash every server
+      // that starts it.
       if (reason === "connection_lost") {
         this.#context.quarantine.lost(this.request.fingerprint, record);
       }
     }
-    this.#endCurrent(true);
+    this.#endCurrentSend(true);
     this.#record.lost(reason, {
       detail,
       server: record,
-      relayed: this.#truth.relayed,
+      relayed: this.#tracker.relayed,
     });
     if (before === "waiting") {
       this.#resend("not_connected", "no_server");
       return;
     }
-    // A server may have gone on from the memory; it serves once.
-    this.#move.drop();
+    // A server may already have resumed from the memory, which works only once.
+    this.#migration.drop();
     this.#resend(reason, "unknown_outcome");
   }
 
-  /** Sends the request elsewhere, if anything allows; `sent` hears where. */
+  /** Sends the request to another server, if permitted, and calls `sent` with it. */
   #resend(
     reason: ResendReason,
-    otherwise: RefusalReason,
+    fallback: RefusalReason,
     sent: (next: ServerRecord) => void = () => undefined,
   ): void {
     if (this.#answer.finished) return;
-    const asked = { reason, otherwise, sent };
-    const forbidden = this.#rules.whyNotAgain(this.#remaining());
+    const wanted = { reason, fallback, sent };
+    const forbidden = this.#rules.reasonAgainstResend(this.#remaining());
     if (forbidden !== undefined) {
-      this.#notSentAgain(asked, forbidden);
+      this.#abandonResend(wanted, forbidden);
       return;
     }
-    this.#chooser.again({
-      chosen: (choice) => this.#sendAgain(asked, choice),
-      none: (why) => this.#notSentAgain(asked, why),
+    this.#sendChooser.chooseForResend({
+      chosen: (choice) => this.#sendResend(wanted, choice),
+      none: (why) => this.#abandonResend(wanted, why),
     });
   }
 
-  #sendAgain(asked: AskedAgain, choice: Choice): void {
-    const { granted, view } = this.#spend("repeat");
+  #sendResend(wanted: WantedResend, choice: Choice): void {
+    const { granted, view } = this.#spendBudget("repeat");
     if (!granted) {
-      this.#notSentAgain(asked, "budget_spent", view);
+      this.#abandonResend(wanted, "budget_spent", view);
       return;
     }
-    this.#rules.repeated();
-    this.#record.resent(asked.reason, view);
+    this.#rules.recordRepeat();
+    this.#record.resent(wanted.reason, view);
     this.#sendTo(choice);
-    asked.sent(choice.record);
+    wanted.sent(choice.record);
   }
 
-  #notSentAgain(
-    { reason, otherwise }: AskedAgain,
+  #abandonResend(
+    { reason, fallback }: WantedResend,
     why: NotRepeatedReason,
     budget?: BudgetView,
   ): void {
-    this.#notRepeated(reason, why, budget);
-    this.#giveUp(otherwise);
+    this.#recordNotRepeated(reason, why, budget);
+    this.#giveUp(fallback);
   }
 
-  /** Spends one further send, if the budget allows. */
-  #spend(kind: ResendKind): Spending {
+  /** Takes one further send from the budget, if it has one left. */
+  #spendBudget(kind: ResendKind): Spending {
     const { budget } = this.#context;
     const { name } = this.request.service;
-    const asked = this.#asked();
+    const asked = this.#budgetQuery();
     const view = { ...budget.state(name, asked), hosts: asked.hosts };
     return { granted: budget.spend(name, { ...asked, kind }), view };
   }
 
-  #asked(): ResendAsked {
+  #budgetQuery(): ResendAsked {
     return { now: this.#now(), hosts: this.#context.listedHosts() };
   }
 
-  #notRepeated(
+  #recordNotRepeated(
     reason: ResendReason,
     why: NotRepeatedReason,
     budget?: BudgetView,
   ): void {
-    const { possibleRuns } = this.#truth;
+    const { possibleRuns } = this.#tracker;
     this.#record.notRepeated(reason, { why, possibleRuns, budget });
   }
 
-  #timedOut(): void {
+  #handleTimeout(): void {
     if (this.#answer.finished) return;
-    const unsent = this.#truth.surelyNotRun;
-    this.#noteSilence();
+    const hasNotRun = this.#tracker.certainlyNotRun;
+    this.#recordIfUnresponsive();
     this.#current?.send.abort();
-    this.#endCurrent(true);
-    this.#giveUp(unsent ? "deadline_passed" : "timed_out");
+    this.#endCurrentSend(true);
+    this.#giveUp(hasNotRun ? "deadline_passed" : "timed_out");
   }
 
-  /** Ends with an answer of this host's own that is true. */
+  /**
+   * Ends the request with a refusal or a stored failure answer. A refusal never
+   * claims that the request did not run if it may have run.
+   */
   #giveUp(reason: RefusalReason): void {
     if (this.#answer.finished) return;
     const failure = this.#failureAnswer;
     if (this.#answer.started) {
       this.#finish(reason);
-      this.#answer.breakOff();
+      this.#answer.abort();
     } else if (failure !== undefined) {
       const { head, body } = failure;
       this.#finish(reason, head.status);
-      this.#answer.whole(head.status, head.forwarded, body);
+      this.#answer.sendWhole(head.status, head.forwarded, body);
     } else {
-      const truthful =
-        REFUSALS[reason].notRun && !this.#truth.surelyNotRun
+      const accurateReason =
+        REFUSALS[reason].notRun && !this.#tracker.certainlyNotRun
           ? "unknown_outcome"
           : reason;
-      this.#finish(truthful, REFUSALS[truthful].status);
+      this.#finish(accurateReason, REFUSALS[accurateReason].status);
       const exchange = { request: this.request, answer: this.#answer };
-      answerRefusal(truthful, exchange, this.#context);
+      answerRefusal(accurateReason, exchange, this.#context);
     }
   }
 
-  /** Ends the answer because the process ends. */
+  /** Cuts the answer off because the process ends. */
   cutOff(): void {
     if (this.#answer.finished) return;
     this.#finish("cut_off");
-    this.#answer.breakOff();
+    this.#answer.abort();
   }
 
-  #callerLeft(): void {
+  #handleCallerDisconnect(): void {
     if (this.#answer.finished) return;
-    this.#answer.abandoned();
-    this.#noteSilence();
+    this.#answer.markAbandoned();
+    this.#recordIfUnresponsive();
     this.#current?.send.abort();
     this.#finish("caller_left");
   }
 
-  /** A server that gave no head for long counts as failing. */
-  #noteSilence(): void {
+  /** Counts a server as failing if it sent no head within the stall limit. */
+  #recordIfUnresponsive(): void {
     const current = this.#current;
     if (current === undefined || this.#head !== undefined) return;
     const waited = this.#now() - current.sentAt;
-    if (waited >= this.#firstStallMilliseconds()) this.#fellSilent(current);
+    if (waited >= this.#firstStallLimitMilliseconds())
+      this.#recordUnresponsive(current);
   }
 
-  #fellSilent({ choice: { record } }: CurrentSend): void {
-    record.failed(this.#now(), NOT_SURELY_DOWN);
+  #recordUnresponsive({ choice: { record } }: CurrentSend): void {
+    record.failed(this.#now(), POSSIBLY_UP);
     this.#context.quarantine.silent(this.request.fingerprint, record);
   }
 
-  /** Ends the current send's part in the counts; forgets what it brought. */
-  #endCurrent(abort: boolean): void {
-    this.#stall.stop();
+  /** Ends the current send, its load counts and its buffered data. */
+  #endCurrentSend(abort: boolean): void {
+    this.#stallWatch.stop();
     if (abort) this.#current?.send.abort();
     this.#current?.work.ended();
     this.#current = undefined;
     this.#head = undefined;
     this.#framer.reset();
-    this.#held.reset();
+    this.#bufferedBody.clear();
   }
 
   /**
-   * Ends the run. Its line goes out before the end of its answer, so that a host
-   * that is killed right after the answer has told of it.
+   * Ends the run. Its log line is written before the end of the answer, so that
+   * it exists even if the host is killed right after the answer.
    */
   #finish(outcome: string, status = this.#answer.status): void {
     this.#cancelDeadline();
-    this.#move.drop();
-    this.#truth.handle({ type: "ended" });
-    this.#endCurrent(false);
+    this.#migration.drop();
+    this.#tracker.handle({ type: "ended" });
+    this.#endCurrentSend(false);
     this.#record.ended(outcome, status);
     this.#onFinished(this);
   }
--- a/packages/rampswitch-serving/src/relay/resend_rules.ts
+++ b/packages/rampswitch-serving/src/relay/resend_rules.ts
@@ -1,70 +1,74 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What forbids a further send of a request, wherever it would go.
+ * The rules that forbid a further send of a request, whichever server it would
+ * go to.
  *
  * @module
  */
-import type { AttemptTruth } from "../attempt/mod.ts";
+import type { AttemptTracker } from "../attempt/mod.ts";
 import type { ServerRecord } from "../choice/mod.ts";
 import type { Quarantine } from "../quarantine/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { NotRepeatedReason } from "./run_record.ts";
 import { LEAST_USEFUL_MILLISECONDS } from "./run_move.ts";
 
-/** Sends of one request that ask for a further run, at most. */
+/** Maximum number of sends of one request that ask for a further run. */
 const MAXIMUM_REPEATS = 4;
 
-/** Further runs of a stream that broke midway at a server that ended. */
-const RESUME_EXTRA_RUNS = 1;
+/** Runs beyond the route's maximum for a stream that broke at a leaving server. */
+const EXTRA_RESUME_RUNS = 1;
 
-/** The rules of one request's further sends. */
+/** The rules for further sends of one request. */
 export class ResendRules {
   readonly #request: AdmittedRequest;
-  readonly #truth: AttemptTruth;
+  readonly #tracker: AttemptTracker;
   readonly #quarantine: Quarantine;
-  /** Servers whose answer was lost. */
-  readonly #lostAt: ServerRecord[] = [];
-  /** Sends that asked for a further run. */
+  /** Servers at which an answer to the request was lost. */
+  readonly #serversOfLosses: ServerRecord[] = [];
+  /** Number of sends that asked for a further run. */
   #repeats = 0;
 
   constructor(
     request: AdmittedRequest,
-    truth: AttemptTruth,
+    tracker: AttemptTracker,
     { quarantine }: { readonly quarantine: Quarantine },
   ) {
     this.#request = request;
-    this.#truth = truth;
+    this.#tracker = tracker;
     this.#quarantine = quarantine;
   }
 
-  /** Notes that a server's answer was lost. */
-  lostAt(record: ServerRecord): void {
-    this.#lostAt.push(record);
+  /** Records that a server's answer was lost. */
+  recordLoss(record: ServerRecord): void {
+    this.#serversOfLosses.push(record);
   }
 
-  /** Notes a send that asks for a further run. */
-  repeated(): void {
+  /** Records a send that asks for a further run. */
+  recordRepeat(): void {
     this.#repeats += 1;
   }
 
-  /** Whether the current run may be left for another one. */
-  get mayLeaveRun(): boolean {
+  /** Whether the current run may be abandoned for another one. */
+  get canAbandonRun(): boolean {
     const { route, fingerprint } = this.#request;
     const repeatable = route.resumable || route.repeatability === "repeatable";
     return (
       repeatable &&
-      this.#truth.possibleRuns < route.maximumRuns &&
-      // No other run would follow, so that a slow trial had come to nothing.
+      this.#tracker.possibleRuns < route.maximumRuns &&
+      // A quarantined request gets no further run in this attempt: abandoning a slow
+      // trial would leave it without a result.
       !this.#quarantine.forbidsRepeat(fingerprint)
     );
   }
 
-  /** What forbids a further send; `undefined` for nothing. */
-  whyNotAgain(remainingMilliseconds: number): NotRepeatedReason | undefined {
+  /** Why a further send is forbidden; `undefined` if it is allowed. */
+  reasonAgainstResend(
+    remainingMilliseconds: number,
+  ): NotRepeatedReason | undefined {
     const { route, fingerprint } = this.#request;
-    const extra = this.#brokeAtEnd() ? RESUME_EXTRA_RUNS : 0;
-    if (!this.#truth.maySend(route.maximumRuns + extra)) {
+    const extra = this.#brokeAtEndingServer() ? EXTRA_RESUME_RUNS : 0;
+    if (!this.#tracker.canSend(route.maximumRuns + extra)) {
       return "may_not_run_again";
     }
     if (this.#quarantine.forbidsRepeat(fingerprint)) return "quarantined";
@@ -72,12 +76,12 @@
     return this.#repeats < MAXIMUM_REPEATS ? undefined : "too_many_sends";
   }
 
-  /** Whether a part of the stream ran at a server that has ended or will. */
-  #brokeAtEnd(): boolean {
-    // A lost connection alone does not tell that its server ended.
+  /** Whether the stream was relayed in part and broke at a leaving or ended server. */
+  #brokeAtEndingServer(): boolean {
+    // A lost connection alone does not mean that its server has ended.
     return (
-      this.#truth.relayed &&
-      this.#lostAt.some(({ entry }) => entry.state === "leaving")
+      this.#tracker.relayed &&
+      this.#serversOfLosses.some(({ entry }) => entry.state === "leaving")
     );
   }
 }
--- a/packages/rampswitch-serving/src/relay/resend_rules_test.ts
+++ b/packages/rampswitch-serving/src/relay/resend_rules_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import { ManualClock, SILENT_LOGGER } from "rampswitch-utils";
-import { AttemptTruth } from "../attempt/mod.ts";
+import { AttemptTracker } from "../attempt/mod.ts";
 import { ServingMetrics } from "../observation/mod.ts";
 import { Fingerprint, Quarantine } from "../quarantine/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
@@ -10,9 +10,9 @@
 
 const REMAINING_MILLISECONDS = 1_000;
 
-function observed(): {
+function createRules(): {
   readonly rules: ResendRules;
-  readonly truth: AttemptTruth;
+  readonly tracker: AttemptTracker;
   readonly lose: (life: string) => void;
 } {
   const fingerprint = new Fingerprint({
@@ -33,38 +33,42 @@
     fingerprint,
     route: { repeatability: "repeatable", resumable: false, maximumRuns: 3 },
   } as unknown as AdmittedRequest;
-  const truth = new AttemptTruth("repeatable");
+  const tracker = new AttemptTracker("repeatable");
   return {
-    rules: new ResendRules(request, truth, { quarantine }),
-    truth,
+    rules: new ResendRules(request, tracker, { quarantine }),
+    tracker,
     lose: (life) =>
       quarantine.lost(fingerprint, { life, leavingSince: undefined }),
   };
 }
 
-describe("a further send", () => {
-  test("is made after two servers were lost, and not after three", () => {
-    const { rules, truth, lose } = observed();
-    truth.handle({ type: "written" });
-    truth.handle({ type: "lost" });
+describe("resend rules", () => {
+  test("allow a further send after two lost servers, but not after three", () => {
+    const { rules, tracker, lose } = createRules();
+    tracker.handle({ type: "written" });
+    tracker.handle({ type: "lost" });
     lose("a");
     lose("b");
-    expect(rules.whyNotAgain(REMAINING_MILLISECONDS)).toBeUndefined();
+    expect(rules.reasonAgainstResend(REMAINING_MILLISECONDS)).toBeUndefined();
     lose("c");
-    expect(rules.whyNotAgain(REMAINING_MILLISECONDS)).toBe("quarantined");
+    expect(rules.reasonAgainstResend(REMAINING_MILLISECONDS)).toBe(
+      "quarantined",
+    );
   });
 
-  test("is no reason to leave a run that none may follow", () => {
-    const { rules, truth, lose } = observed();
-    truth.handle({ type: "written" });
-    expect(rules.mayLeaveRun).toBe(true);
+  test("do not abandon a run if no further run may follow", () => {
+    const { rules, tracker, lose } = createRules();
+    tracker.handle({ type: "written" });
+    expect(rules.canAbandonRun).toBe(true);
     ["a", "b", "c"].forEach(lose);
-    expect(rules.mayLeaveRun).toBe(false);
+    expect(rules.canAbandonRun).toBe(false);
   });
 
-  test("is one of four at most", () => {
-    const { rules } = observed();
-    for (let count = 0; count < 4; count += 1) rules.repeated();
-    expect(rules.whyNotAgain(REMAINING_MILLISECONDS)).toBe("too_many_sends");
+  test("allow at most four repeats", () => {
+    const { rules } = createRules();
+    for (let count = 0; count < 4; count += 1) rules.recordRepeat();
+    expect(rules.reasonAgainstResend(REMAINING_MILLISECONDS)).toBe(
+      "too_many_sends",
+    );
   });
 });
--- a/packages/rampswitch-serving/src/relay/send_choice.ts
+++ b/packages/rampswitch-serving/src/relay/send_choice.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The choice of a server for one send of a request, from all that this host
- * knows.
+ * Chooses a server for one send of a request from the state that this host has of
+ * all servers.
  *
  * @module
  */
@@ -19,20 +19,22 @@
 import type { RequestContext } from "./request_context.ts";
 
 /**
- * Part of the time to the end of a leaving server in which it takes requests; the
- * rest is for the way there, and for the news of its end.
+ * Share of the time to a leaving server's end in which it is sent requests. The
+ * remainder allows for the transmission of a request and for the delay until the
+ * announced end is known here.
  */
-const LEAVING_SHARE = 0.6;
+const LEAVING_SEND_SHARE = 0.6;
 
-/** Outcome of a choice among the servers that need no turn. */
+/** Result of a choice for one send. */
 export interface SendChoice {
+  /** Outcome of the choice among the servers that need no permit. */
   readonly outcome: ChoiceOutcome;
-  /** Servers that may take the request too, with a turn; the preferred ones first. */
+  /** Limited servers that may take the request with a permit, preferred ones first. */
   readonly limited: readonly ServerRecord[];
 }
 
-/** Chooses among the servers whose present lives were not tried. */
-export function chooseFor(
+/** Chooses among the servers whose current incarnations were not tried. */
+export function chooseForSend(
   request: AdmittedRequest,
   tried: ReadonlySet<string>,
   context: RequestContext,
@@ -42,13 +44,13 @@
   const all = context.rollouts.choice(request.service.name, { isFirst, now });
   const send = { request, tried, now };
   return {
-    outcome: chooseUnlimited(withoutLimited(all, context), send, context),
-    limited: withTurns(all, send, context),
+    outcome: chooseWithoutPermit(withoutLimited(all, context), send, context),
+    limited: withPermits(all, send, context),
   };
 }
 
-/** The choice of a server that gave a turn. */
-export function chooseGiven(
+/** The choice of a limited server for which a permit was given. */
+export function choosePermitted(
   record: ServerRecord,
   request: AdmittedRequest,
   context: RequestContext,
@@ -58,18 +60,18 @@
   return outcome.kind === "chosen" ? outcome.choice : undefined;
 }
 
-const FULL: ChoiceOutcome = { kind: "full" };
+const NO_CAPACITY: ChoiceOutcome = { kind: "full" };
 
-const RESTING: ChoiceOutcome = { kind: "resting" };
+const ALL_BACK_OFF: ChoiceOutcome = { kind: "resting" };
 
-function chooseUnlimited(
+function chooseWithoutPermit(
   versions: VersionChoice,
-  send: Send,
+  send: SendQuery,
   context: RequestContext,
 ): ChoiceOutcome {
   const isFirst = send.tried.size === 0;
-  if (isFirst && allRest(versions, send.now)) return RESTING;
-  if (isFirst && !getsPlace(versions, send.request, context)) return FULL;
+  if (isFirst && allBackOff(versions, send.now)) return ALL_BACK_OFF;
+  if (isFirst && !getsSlot(versions, send.request, context)) return NO_CAPACITY;
   const { first, otherwise } = versions;
   const outcome = chooseAmong(first, send, context);
   return outcome.kind === "chosen" || otherwise === undefined
@@ -77,15 +79,15 @@
     : chooseAmong(otherwise, send, context);
 }
 
-/** Whether all servers that are ready rest, so that none has a place. */
-function allRest(
+/** Whether all ready servers have asked for a back-off, so that none takes requests. */
+function allBackOff(
   { first, otherwise = [] }: VersionChoice,
   now: number,
 ): boolean {
-  const isAwake = ({ isReady, rest }: ServerRecord) =>
+  const isAvailable = ({ isReady, rest }: ServerRecord) =>
     isReady && !rest.holds(now);
-  // Nearly always the first server tells.
-  if (first.some(isAwake) || otherwise.some(isAwake)) return false;
+  // Checked first because in nearly all cases the first server already decides.
+  if (first.some(isAvailable) || otherwise.some(isAvailable)) return false;
   return [...first, ...otherwise].some(({ isReady }) => isReady);
 }
 
@@ -100,12 +102,12 @@
 }
 
 /**
- * Limited servers that may take a request now. Nothing waits behind their limits, so
- * they need a free place.
+ * Limited servers that may take a request now, least loaded first. No requests
+ * queue at a limited server, so it needs a free slot.
  */
-function withTurns(
+function withPermits(
   { first, otherwise = [] }: VersionChoice,
-  { request, tried, now }: Send,
+  { request, tried, now }: SendQuery,
   context: RequestContext,
 ): readonly ServerRecord[] {
   const { turns } = context;
@@ -123,10 +125,11 @@
 }
 
 /**
- * Whether a request that comes now is among those that engines can take. What was
- * sent once already is not turned away here.
+ * Whether the engines have capacity for a new request. If they lack capacity, a
+ * random share of the requests is admitted. Only first sends are checked, so a
+ * resend is never refused here.
  */
-function getsPlace(
+function getsSlot(
   { first, otherwise = [] }: VersionChoice,
   request: AdmittedRequest,
   context: RequestContext,
@@ -134,10 +137,10 @@
   const { service, route } = request;
   if (service.engine === undefined) return true;
   const now = context.clock.now();
-  const leavingMilliseconds = timeToLeave(request, context);
+  const leavingMilliseconds = leavingWindowMilliseconds(request, context);
   const totals = context.places.of(service.name, now, () =>
     [...first, ...otherwise]
-      .filter((record) => takesWork(record, now, leavingMilliseconds))
+      .filter((record) => acceptsRequests(record, now, leavingMilliseconds))
       .map((record) => ({
         slots: record.entry.slots,
         load: record.load(now),
@@ -154,8 +157,8 @@
   return share >= 1 || context.random.next() < share;
 }
 
-/** Whether a server takes requests now: it is ready, or began to leave lately. */
-function takesWork(
+/** Whether a server takes requests now: it is ready, or announced its end recently. */
+function acceptsRequests(
   record: ServerRecord,
   now: number,
   leavingMilliseconds: number,
@@ -167,23 +170,27 @@
     : leftFor < leavingMilliseconds;
 }
 
-/** Time for which a leaving server takes a request like this one, in milliseconds. */
-function timeToLeave(
+/** Time for which a leaving server is sent requests like this one, in milliseconds. */
+function leavingWindowMilliseconds(
   request: AdmittedRequest,
   context: RequestContext,
 ): number {
-  return endsInTime(request) ? context.drainMilliseconds() * LEAVING_SHARE : 0;
+  return endsBeforeServer(request)
+    ? context.drainMilliseconds() * LEAVING_SEND_SHARE
+    : 0;
 }
 
-interface Send {
+/** A send for which a server is chosen. */
+interface SendQuery {
   readonly request: AdmittedRequest;
+  /** Server incarnations that the request was sent to. */
   readonly tried: ReadonlySet<string>;
   readonly now: number;
 }
 
 function chooseAmong(
   records: readonly ServerRecord[],
-  { request, tried, now }: Send,
+  { request, tried, now }: SendQuery,
   context: RequestContext,
 ): ChoiceOutcome {
   const { prefixes, readingRates } = context;
@@ -197,13 +204,13 @@
     readingRate: readingRates.of(name),
     excluded: tried,
     ownConnections: ownConnections(request.service, context.hosts()),
-    leavingMilliseconds: timeToLeave(request, context),
+    leavingMilliseconds: leavingWindowMilliseconds(request, context),
     hearsDispatches: context.hearsDispatches(),
     draw: () => context.random.next(),
   });
 }
 
-/** Whether a request ends, or can be moved, before a leaving server ends. */
-function endsInTime({ route, service }: AdmittedRequest): boolean {
+/** Whether a request ends, or can migrate, before a leaving server ends. */
+function endsBeforeServer({ route, service }: AdmittedRequest): boolean {
   return !route.streaming || (service.engine?.movable ?? false);
 }
--- a/packages/rampswitch-serving/src/relay/stall_watch_test.ts
+++ b/packages/rampswitch-serving/src/relay/stall_watch_test.ts
@@ -4,7 +4,7 @@
 import { ManualClock } from "rampswitch-utils";
 import { StallWatch } from "./stall_watch.ts";
 
-function watched(): {
+function startWatch(): {
   readonly clock: ManualClock;
   readonly watch: StallWatch;
   readonly stalls: number[];
@@ -16,8 +16,8 @@
 }
 
 describe("stall watch", () => {
-  test("notices a first event that does not come", () => {
-    const { clock, watch, stalls } = watched();
+  test("detects a missing first event", () => {
+    const { clock, watch, stalls } = startWatch();
     watch.start(600);
     clock.advance(599);
     expect(stalls).toEqual([]);
@@ -25,22 +25,22 @@
     expect(stalls).toEqual([600]);
   });
 
-  test("notices a pause 1.5 s after the last event, however many came", () => {
-    const { clock, watch, stalls } = watched();
+  test("detects a pause 1.5 s after the last event, after any number of events", () => {
+    const { clock, watch, stalls } = startWatch();
     watch.start(600);
     Array.from({ length: 50 }).forEach(() => {
       clock.advance(100);
-      watch.eventCame();
+      watch.eventReceived();
     });
     expect(stalls).toEqual([]);
     Array.from({ length: 20 }).forEach(() => clock.advance(100));
     expect(stalls).toEqual([6_500]);
   });
 
-  test("forgets the events of a send that ended", () => {
-    const { clock, watch, stalls } = watched();
+  test("ignores the events of a send that ended", () => {
+    const { clock, watch, stalls } = startWatch();
     watch.start(600);
-    watch.eventCame();
+    watch.eventReceived();
     watch.stop();
     clock.advance(5_000);
     expect(stalls).toEqual([]);
