--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -58,7 +58,7 @@
 const FIRST_SERVER_ERROR_STATUS = 500;
 
 /** Status of a server that is not the one that the request names. */
-const MISDIRECTED_STATUS = 421;
+const MISDIRECTED = 421;
 
 /** A failure after which the server may still be up. */
 const POSSIBLY_UP = { surelyDown: false };
@@ -316,10 +316,11 @@
       sentAt: this.#now(),
       unreadBefore,
     };
-    this.#stallWatch.start(this.#firstStallLimitMilliseconds());
+    this.#stallWatch.start(this.#firstStallMilliseconds());
   }
 
-  #firstStallLimitMilliseconds(): number {
+  /** Time without a first event or an answer that counts as a stall. */
+  #firstStallMilliseconds(): number {
     const { route } = this.request;
     return (
       route.targetMilliseconds *
@@ -337,7 +338,7 @@
     if (!this.#rules.canAbandonRun) return;
     // If no other server can answer, a late answer is better than none.
     if (!this.#sendChooser.hasAlternative) {
-      this.#stallWatch.start(this.#firstStallLimitMilliseconds());
+      this.#stallWatch.start(this.#firstStallMilliseconds());
       return;
     }
     this.#tracker.handle({ type: "lost" });
@@ -388,12 +389,11 @@
 
   /**
    * Reads what a server advertises about itself, even if its answer is unusable.
-   * An answer from another server, or one without an attempt id, is ignored: it
-   * may not come from the server that the request was sent to.
+   * It reads nothing from an answer that another server gave, or that has no
+   * attempt id, since its values don't belong to the server of the send.
    */
   #readAdvertisements(head: AnswerHead, record: ServerRecord): void {
-    if (head.status === MISDIRECTED_STATUS || head.attemptId === undefined)
-      return;
+    if (head.status === MISDIRECTED || head.attemptId === undefined) return;
     const isLate = head.attemptId !== this.request.head.attemptId;
     this.#context.statements.read(record, head.says, { isLate });
   }
@@ -420,11 +420,11 @@
     const current = this.#current;
     const head = this.#head;
     if (current === undefined || head === undefined) return;
-    const streams =
+    const isStream =
       this.request.route.streaming &&
       isSuccess(head.status) &&
       !head.notExecuted;
-    if (streams && this.#tracker.state === "running")
+    if (isStream && this.#tracker.state === "running")
       this.#relay(chunk, current);
     else this.#buffer(chunk, current);
   }
@@ -524,9 +524,8 @@
     this.#tracker.handle({ type: "rejected" });
     const current = this.#current;
     // The address now belongs to another server, or to none.
-    if (head.status === MISDIRECTED_STATUS) this.#recordUnreachable(current);
-    else if (current !== undefined)
-      this.#recordRejection(current.choice.record);
+    if (head.status === MISDIRECTED) this.#recordUnreachable(current);
+    else if (current !== undefined) this.#countRejection(current.choice.record);
     this.#endCurrentSend(false);
     this.#context.metrics.event(`rejected_${head.status}`);
     this.#record.rejected(head.status);
@@ -537,7 +536,7 @@
    * Counts a rejection against its server. A server that asked for a back-off or
    * advertises a limit already gets fewer requests, and is not also left out.
    */
-  #recordRejection(record: ServerRecord): void {
+  #countRejection(record: ServerRecord): void {
     const now = this.#now();
     if (record.rest.holds(now)) return;
     if (this.#context.turns.limitOf(record) !== undefined) return;
@@ -713,12 +712,12 @@
     this.#finish("caller_left");
   }
 
-  /** Counts a server as failing if it sent no head within the stall limit. */
+  /** Counts a server as failing if it sent no head within the time for a first stall. */
   #recordIfUnresponsive(): void {
     const current = this.#current;
     if (current === undefined || this.#head !== undefined) return;
     const waited = this.#now() - current.sentAt;
-    if (waited >= this.#firstStallLimitMilliseconds())
+    if (waited >= this.#firstStallMilliseconds())
       this.#recordUnresponsive(current);
   }
 
--- a/packages/rampswitch-serving/src/relay/send_choice.ts
+++ b/packages/rampswitch-serving/src/relay/send_choice.ts
@@ -86,7 +86,7 @@
 ): boolean {
   const isAvailable = ({ isReady, rest }: ServerRecord) =>
     isReady && !rest.holds(now);
-  // Checked first because in nearly all cases the first server already decides.
+  // This is cheap: in nearly all cases the first server already decides.
   if (first.some(isAvailable) || otherwise.some(isAvailable)) return false;
   return [...first, ...otherwise].some(({ isReady }) => isReady);
 }
--- a/packages/rampswitch-serving/src/relay/send_chooser.ts
+++ b/packages/rampswitch-serving/src/relay/send_chooser.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Chooses the servers for the sends of one request, one after the other. A server
- * that needs no permit is chosen at once; a limited server needs a permit, which
- * takes time.
+ * Chooses the servers for the sends of one request, one after the other. A limited
+ * server advertises how many requests per second it takes; a send to it needs a
+ * permit, which takes time to get. Other servers are chosen at once.
  *
  * @module
  */
@@ -71,12 +71,11 @@
       this.#chooseOrTakePermit(choice, listener);
       return;
     }
-    const silentServers = this.#context.turns.unheard(limited);
+    const overdue = this.#context.turns.unheard(limited);
     const send = { request: this.#run.request, limited };
     const probe = chooseProbe(send, this.#context);
     if (probe !== undefined) listener.chosen(probe);
-    else if (silentServers.length > 0)
-      void this.#probeOrChoose(silentServers, listener);
+    else if (overdue.length > 0) void this.#probeOrChoose(overdue, listener);
     else listener.chosen(outcome.choice);
   }
 
