--- a/packages/rampswitch-serving/src/relay/own_refusal.ts
+++ b/packages/rampswitch-serving/src/relay/own_refusal.ts
@@ -96,24 +96,30 @@
  */
 function backOffWaitMilliseconds(
   { service }: AdmittedRequest,
-  { clock, directory, holdTimes, hosts, restWaits }: RefusalContext,
+  {
+    clock,
+    directory,
+    holdTimes,
+    hosts,
+    restWaits: backOffWaits,
+  }: RefusalContext,
 ): number {
   const now = clock.now();
   const ready = directory.of(service.name).filter(({ isReady }) => isReady);
   const ends = ready.map(({ rest }) => rest.returnsAt);
-  restWaits.refused(service.name, Math.max(0, Math.min(...ends) - now), now);
+  backOffWaits.refused(service.name, Math.max(0, Math.min(...ends) - now), now);
   const slots = ready.reduce((sum, { entry }) => sum + entry.slots, 0);
   const perSecond = (1_000 * slots) / holdTimes.of(service.name);
-  return restWaits.tell(service.name, { perSecond, hosts: hosts() }, now);
+  return backOffWaits.tell(service.name, { perSecond, hosts: hosts() }, now);
 }
 
 /** Wait until a permit is free at the limited servers, in milliseconds. */
 function permitWaitMilliseconds(
   { service }: AdmittedRequest,
-  { directory, turns }: RefusalContext,
+  { directory, turns: permits }: RefusalContext,
 ): number {
-  const limited = turns
+  const limited = permits
     .limited(directory.of(service.name))
     .filter(({ isReady }) => isReady);
-  return turns.waitToTell(service.name, limited);
+  return permits.waitToTell(service.name, limited);
 }
--- a/packages/rampswitch-serving/src/relay/send_choice.ts
+++ b/packages/rampswitch-serving/src/relay/send_choice.ts
@@ -93,11 +93,12 @@
 
 function withoutLimited(
   { first, otherwise }: VersionChoice,
-  { turns }: RequestContext,
+  { turns: permits }: RequestContext,
 ): VersionChoice {
   return {
-    first: turns.unlimited(first),
-    otherwise: otherwise === undefined ? undefined : turns.unlimited(otherwise),
+    first: permits.unlimited(first),
+    otherwise:
+      otherwise === undefined ? undefined : permits.unlimited(otherwise),
   };
 }
 
@@ -110,8 +111,8 @@
   { request, tried, now }: SendQuery,
   context: RequestContext,
 ): readonly ServerRecord[] {
-  const { turns } = context;
-  const limited = [...turns.limited(first), ...turns.limited(otherwise)];
+  const { turns: permits } = context;
+  const limited = [...permits.limited(first), ...permits.limited(otherwise)];
   if (limited.length === 0) return limited;
   context.metrics.event("limited_servers_left_out");
   const connections = ownConnections(request.service, context.hosts());
