--- a/packages/rampswitch-serving/src/relay/event_framer_test.ts
+++ b/packages/rampswitch-serving/src/relay/event_framer_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { isAfter, EventFramer } from "./event_framer.ts";
+import { EventFramer, isAfter } from "./event_framer.ts";
 
 const EVENTS = Array.from(
   { length: 9 },
--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -21,12 +21,12 @@
 import {
   type AdmittedRequest,
   enginePriority,
-  timeLimitMilliseconds,
   promptTokens,
+  timeLimitMilliseconds,
 } from "./admitted_request.ts";
-import { CallerAnswer } from "./caller_answer.ts";
-import { isAfter, EventFramer } from "./event_framer.ts";
 import { BufferedBody } from "./buffered_body.ts";
+import { CallerAnswer } from "./caller_answer.ts";
+import { EventFramer, isAfter } from "./event_framer.ts";
 import { answerRefusal } from "./own_refusal.ts";
 import {
   learnHoldTime,
--- a/packages/rampswitch-serving/src/relay/send_chooser.ts
+++ b/packages/rampswitch-serving/src/relay/send_chooser.ts
@@ -11,10 +11,10 @@
 import type { Choice, ChoiceOutcome, ServerRecord } from "../choice/mod.ts";
 import type { RefusalReason } from "../model/outcome.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
+import { chooseProbe, chooseWithPermit } from "./permit_choice.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { NotRepeatedReason } from "./run_record.ts";
 import { chooseForSend, type SendChoice } from "./send_choice.ts";
-import { chooseProbe, chooseWithPermit } from "./permit_choice.ts";
 
 /** Maximum number of waits for a permit for a run that is lost without one. */
 const MAXIMUM_PERMIT_WAITS = 3;
