--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -405,7 +405,7 @@
    * server still runs it.
    */
   #unusableReason(head: AnswerHead): string | undefined {
-    if (head.encoded) return "unexpected content encoding";
+    if (head.encoded) return "encoded";
     if (head.attemptId === this.request.head.attemptId) return undefined;
     return head.attemptId === undefined ? "no attempt id" : "crossed";
   }
