--- a/packages/rampswitch-serving/src/admission/fleet_admission.ts
+++ b/packages/rampswitch-serving/src/admission/fleet_admission.ts
@@ -1,13 +1,15 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Who decides whether a request fits into its workspace's limit. In a large
- * fleet each host meets few of a workspace's requests and hears of the others a
- * second late. A host that took its even part of what is left of a limit would
- * refuse nearly all of them, and one that took more would overspend the limit
- * together with all others. So a host admits alone while a limit is ample, and
- * asks a relay otherwise: the relays are few, hear each other sooner, and may
- * each give a larger part away.
+ * Decides which host checks a request against the limit of its workspace.
+ *
+ * In a large fleet each host receives few of a workspace's requests, and
+ * receives updates about the others a second late. If a host could admit only
+ * its even share of what is left of a limit, it would refuse nearly all
+ * requests. If each host could admit more than that, all hosts together would
+ * exceed the limit. So a host admits on its own while the limit has ample
+ * headroom, and queries a relay once it has not: the relays are few, receive
+ * each other's updates sooner, and may each admit a larger share.
  *
  * @module
  */
@@ -16,21 +18,24 @@
 import type { ServingMetrics } from "../observation/mod.ts";
 import type { LimitDecision, WorkspaceLimits } from "./workspace_limits.ts";
 
-/** What admissions work with. */
+/** Dependencies of {@link FleetAdmission}. */
 export interface FleetAdmissionParts {
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
   readonly limits: WorkspaceLimits;
   readonly metrics: ServingMetrics;
-  /** Whether this host has relays to ask. */
+  /** Whether this host has relays that it can query. */
   asks(): boolean;
-  /** How many hosts decide for others, where this host is one of them. */
+  /**
+   * Number of hosts that decide for others; `undefined` where this host is not
+   * one of them.
+   */
   deciders(): number | undefined;
-  /** Asks a relay; `undefined` where none answers in time. */
+  /** Queries a relay; `undefined` if none answers in time. */
   ask(request: LimitRequest): Promise<LimitDecision | undefined>;
 }
 
-/** Admission of requests to one host, under limits that all hosts share. */
+/** Admits requests at one host, under limits that all hosts share. */
 export class FleetAdmission {
   readonly #parts: FleetAdmissionParts;
 
@@ -38,17 +43,21 @@
     this.#parts = parts;
   }
 
-  /** Admits a request, or says when to come back. */
+  /** Admits a request, or refuses it with a time to retry after. */
   async admit(request: LimitRequest): Promise<LimitDecision> {
     if (!this.#parts.asks()) return this.decide(request);
-    const alone = this.#admitAlone(request);
-    if (alone?.kind === "admitted") return alone;
-    const told = await this.#parts.ask(request);
-    this.#parts.metrics.event(`limit_asked_${told?.kind ?? "in_vain"}`);
-    return told ?? alone ?? this.decide(request);
+    const ownDecision = this.#admitWhileAmple(request);
+    if (ownDecision?.kind === "admitted") return ownDecision;
+    const relayDecision = await this.#parts.ask(request);
+    this.#parts.metrics.event(
+      `limit_asked_${relayDecision?.kind ?? "in_vain"}`,
+    );
+    return relayDecision ?? ownDecision ?? this.decide(request);
   }
 
-  /** Decides on this host's own knowledge, for itself or for a host that asks. */
+  /**
+   * Decides from this host's own state, for itself or for a host that queries.
+   */
   decide({ workspace, tokens, priority }: LimitRequest): LimitDecision {
     const { clock, limits } = this.#parts;
     return limits.admit(workspace, tokens, {
@@ -58,18 +67,20 @@
     });
   }
 
-  /** Takes back what was admitted for a request that surely did not run. */
+  /** Returns the tokens of an admitted request that certainly did not run. */
   giveBack({ workspace, tokens }: Omit<LimitRequest, "priority">): void {
-    this.#parts.limits.giveBack(workspace, tokens);
+    this.#parts.limits.refund(workspace, tokens);
   }
 
-  /** Admits while the limit is ample; `undefined` where it is not. */
-  #admitAlone(request: LimitRequest): LimitDecision | undefined {
+  /**
+   * Decides while the limit has ample headroom; `undefined` once it has not.
+   */
+  #admitWhileAmple(request: LimitRequest): LimitDecision | undefined {
     const { workspace, tokens, priority } = request;
     const { limits } = this.#parts;
     const now = this.#parts.clock.now();
-    return limits.isAmple(workspace, now)
-      ? limits.admit(workspace, tokens, { now, priority, asks: true })
+    return limits.hasAmpleHeadroom(workspace, now)
+      ? limits.admit(workspace, tokens, { now, priority, asksDecider: true })
       : undefined;
   }
 }
--- a/packages/rampswitch-serving/src/admission/fleet_admission_test.ts
+++ b/packages/rampswitch-serving/src/admission/fleet_admission_test.ts
@@ -17,18 +17,18 @@
 
 const DATA_HALLS = 7;
 
-/** Times within a round of news at which requests come. */
-const ARRIVALS_EACH_ROUND = 4;
+/** Times within a round of updates at which requests arrive. */
+const ARRIVALS_PER_ROUND = 4;
 
-/** Mean sizes of requests in tokens, how many of all they are, their ranks. */
-const KINDS = [
+/** Mean size in tokens, share of all requests and rank of each kind. */
+const REQUEST_KINDS = [
   { tokens: 12_000, share: 0.2, priority: 1 },
   { tokens: 1_100, share: 0.2, priority: 0 },
   { tokens: 2_400, share: 0.35, priority: 2 },
   { tokens: 200, share: 0.25, priority: 2 },
 ];
 
-const MEAN_TOKENS = KINDS.reduce(
+const MEAN_TOKENS = REQUEST_KINDS.reduce(
   (sum, { tokens, share }) => sum + tokens * share,
   0,
 );
@@ -40,11 +40,13 @@
   readonly admission: FleetAdmission;
 }
 
-/** A fleet whose members ask the relay of their data hall. */
-class AskingFleet {
+/** A simulated fleet whose members query the relay of their data hall. */
+class QueryingFleet {
   readonly admitted: { readonly at: number; readonly tokens: number }[] = [];
-  asked = 0;
-  /** What one bucket for all, refilled without delay, would admit. */
+  requestedTokens = 0;
+  /**
+   * Tokens that one bucket for all hosts, refilled without delay, would admit.
+   */
   admittedByOneBucket = 0;
   readonly #workspace: Workspace;
   readonly #clock = new ManualClock(0);
@@ -52,10 +54,12 @@
   readonly #count: number;
   #relays: readonly Host[];
   #members: readonly Host[];
-  #life = 0;
+  #incarnation = 0;
   #level: number;
-  /** Totals of the members a round ago, as other data halls' relays have them. */
-  #before: readonly Readonly<Record<string, number>>[] = [];
+  /**
+   * Members' totals one round ago, which relays of other data halls still have.
+   */
+  #previousTotals: readonly Readonly<Record<string, number>>[] = [];
 
   constructor(members: number, tokensPerSecond: number, seed: number) {
     this.#count = members;
@@ -69,12 +73,12 @@
       tokensWithoutEstimate: 200,
       countsTokens: true,
     };
-    this.#relays = this.#hosts(DATA_HALLS);
-    this.#members = this.#hosts(members);
+    this.#relays = this.#startHosts(DATA_HALLS);
+    this.#members = this.#startHosts(members);
     this.#level = this.#fullBucket;
   }
 
-  /** What may be admitted in a window, with all that is tolerated. */
+  /** Tokens that may be admitted in a window, with the tolerance. */
   get allowed(): number {
     const { tokensPerSecond, burstTokens } = this.#workspace;
     return (
@@ -91,63 +95,69 @@
     return this.admitted.reduce((sum, { tokens }) => sum + tokens, 0);
   }
 
-  /** Most tokens admitted in a window of eight seconds. */
-  get worstWindow(): number {
-    return this.admitted.reduce((worst, { at }) => {
+  /** Maximum of tokens admitted in any window of eight seconds. */
+  get maximumWindowTokens(): number {
+    return this.admitted.reduce((maximum, { at }) => {
       const within = this.admitted.filter(
         (other) => other.at >= at && other.at < at + 8_000,
       );
       return Math.max(
-        worst,
+        maximum,
         within.reduce((sum, { tokens }) => sum + tokens, 0),
       );
     }, 0);
   }
 
   killAll(): void {
-    this.#life += 1;
-    this.#relays = this.#hosts(this.#relays.length);
-    this.#members = this.#hosts(this.#members.length);
-    this.#before = [];
+    this.#incarnation += 1;
+    this.#relays = this.#startHosts(this.#relays.length);
+    this.#members = this.#startHosts(this.#members.length);
+    this.#previousTotals = [];
   }
 
-  /** One round of news; `load` is demand as a multiple of the limit. */
+  /**
+   * Simulates one round of updates; `load` is demand as a multiple of the
+   * limit.
+   */
   async round(load: number): Promise<void> {
     const members = this.#members.map(({ limits }) => limits.totals());
     const relays = this.#relays.map(({ limits }) => limits.totals());
-    const pause = RELAYED_PACE.interval / ARRIVALS_EACH_ROUND;
-    for (let part = 0; part < ARRIVALS_EACH_ROUND; part += 1) {
-      await this.#arrivals(load, pause);
+    const pause = RELAYED_PACE.interval / ARRIVALS_PER_ROUND;
+    for (let arrival = 0; arrival < ARRIVALS_PER_ROUND; arrival += 1) {
+      await this.#admitArrivals(load, pause);
       this.#clock.advance(pause);
     }
-    this.#relays.forEach((relay, hall) => this.#hear(relay, hall, members));
+    this.#relays.forEach((relay, hall) =>
+      this.#receiveMemberTotals(relay, hall, members),
+    );
     this.#relays.forEach((relay, hall) =>
       relays.forEach((totals, other) => {
-        if (other !== hall) this.#tell(relay, `relay-${other}`, totals);
+        if (other !== hall)
+          this.#receiveTotals(relay, `relay-${other}`, totals);
       }),
     );
     this.#members.forEach(({ limits }, index) =>
-      this.#digest(limits, index, members[index] ?? {}),
+      this.#followRelay(limits, index, members[index] ?? {}),
     );
-    this.#before = members;
+    this.#previousTotals = members;
   }
 
-  async #arrivals(load: number, milliseconds: number): Promise<void> {
+  async #admitArrivals(load: number, milliseconds: number): Promise<void> {
     const { tokensPerSecond } = this.#workspace;
     const refill = (tokensPerSecond * milliseconds) / 1_000;
     this.#level = Math.min(this.#fullBucket, this.#level + refill);
     const mean = (load * refill) / MEAN_TOKENS;
     const count = Math.floor(mean + this.#random.next());
-    for (let request = 0; request < count; request += 1) await this.#one();
+    for (let request = 0; request < count; request += 1) await this.#admitOne();
   }
 
-  async #one(): Promise<void> {
-    const request = this.#request();
-    // Balancers spread callers unevenly: some hosts meet many of them.
+  async #admitOne(): Promise<void> {
+    const request = this.#drawRequest();
+    // Balancers spread callers unevenly: some hosts receive many of them.
     const host = this.#random.next() * this.#random.next() * this.#count;
     const member = this.#members[Math.floor(host)];
     const decision = await member?.admission.admit(request);
-    this.asked += request.tokens;
+    this.requestedTokens += request.tokens;
     if (this.#level >= request.tokens) {
       this.#level -= request.tokens;
       this.admittedByOneBucket += request.tokens;
@@ -156,32 +166,33 @@
     this.admitted.push({ at: this.#clock.now(), tokens: request.tokens });
   }
 
-  #request(): LimitRequest {
-    let left = this.#random.next();
+  #drawRequest(): LimitRequest {
+    let remainingShare = this.#random.next();
     const kind =
-      KINDS.find(({ share }) => {
-        left -= share;
-        return left < 0;
-      }) ?? KINDS[0];
+      REQUEST_KINDS.find(({ share }) => {
+        remainingShare -= share;
+        return remainingShare < 0;
+      }) ?? REQUEST_KINDS[0];
     const size = (kind?.tokens ?? 0) * (0.3 + 1.4 * this.#random.next());
     const tokens = Math.min(LARGEST_TOKENS, Math.round(size));
     const priority = kind?.priority ?? 0;
     return { workspace: this.#workspace.name, tokens, priority };
   }
 
-  #hear(
+  #receiveMemberTotals(
     relay: Host,
     hall: number,
     members: readonly Readonly<Record<string, number>>[],
   ): void {
     members.forEach((totals, index) => {
-      const near = index % DATA_HALLS === hall;
-      const told = near ? totals : this.#before[index];
-      if (told !== undefined) this.#tell(relay, `member-${index}`, told);
+      const isSameDataHall = index % DATA_HALLS === hall;
+      const received = isSameDataHall ? totals : this.#previousTotals[index];
+      if (received !== undefined)
+        this.#receiveTotals(relay, `member-${index}`, received);
     });
   }
 
-  #tell(
+  #receiveTotals(
     relay: Host,
     from: string,
     totals: Readonly<Record<string, number>>,
@@ -189,7 +200,7 @@
     relay.limits.heard(
       from,
       {
-        incarnation: String(this.#life),
+        incarnation: String(this.#incarnation),
         totals,
         levels: {},
         stopping: false,
@@ -198,7 +209,7 @@
     );
   }
 
-  #digest(
+  #followRelay(
     limits: WorkspaceLimits,
     index: number,
     acknowledged: Readonly<Record<string, number>>,
@@ -217,7 +228,7 @@
     );
   }
 
-  #hosts(count: number): readonly Host[] {
+  #startHosts(count: number): readonly Host[] {
     return Array.from({ length: count }, (_, index) => {
       const limits = new WorkspaceLimits(TOLERANCE, RELAYED_PACE, {
         random: this.#random,
@@ -246,13 +257,13 @@
   }
 }
 
-/** Rounds before the first callers come. */
+/** Rounds before the first requests arrive. */
 const STARTING_ROUNDS = 25;
 
-async function played(
-  fleet: AskingFleet,
+async function simulateLoads(
+  fleet: QueryingFleet,
   loads: readonly number[],
-): Promise<AskingFleet> {
+): Promise<QueryingFleet> {
   await Array.from({ length: STARTING_ROUNDS }, () => 0)
     .concat(loads)
     .reduce(
@@ -262,24 +273,27 @@
   return fleet;
 }
 
-function rounds(count: number, load: number): readonly number[] {
+function repeatLoad(count: number, load: number): readonly number[] {
   return Array.from({ length: count }, () => load);
 }
 
 const SEEDS = [1, 2];
 
-describe("limits that members of a large fleet ask their relays about", () => {
+describe("limits about which members of a large fleet query relays", () => {
   test.each([
     [70, 0.55, 0.995],
     [70, 0.8, 0.975],
     [188, 0.55, 0.995],
     [188, 0.8, 0.975],
   ])(
-    "at %d hosts and %d times the limit, admit %d of what one bucket would",
-    async (hosts, load, least) => {
+    "with %d hosts and %d times the limit, admit %d of what one bucket would",
+    async (hosts, load, minimum) => {
       const fleets = await Promise.all(
         SEEDS.map((seed) =>
-          played(new AskingFleet(hosts, 36_000, seed), rounds(100, load)),
+          simulateLoads(
+            new QueryingFleet(hosts, 36_000, seed),
+            repeatLoad(100, load),
+          ),
         ),
       );
       const shares = fleets.map(
@@ -287,21 +301,25 @@
           admittedTokens / admittedByOneBucket,
       );
       const mean = shares.reduce((sum, one) => sum + one, 0) / shares.length;
-      expect(mean).toBeGreaterThan(least);
+      expect(mean).toBeGreaterThan(minimum);
     },
   );
 
   test.each([36_000, 100_000, 400_000])(
     "hold at %d tokens a second when a workspace sends 7.5 times its usual",
     async (tokensPerSecond) => {
-      const loads = [...rounds(30, 0.55), ...rounds(16, 4.1), ...rounds(20, 1)];
+      const loads = [
+        ...repeatLoad(30, 0.55),
+        ...repeatLoad(16, 4.1),
+        ...repeatLoad(20, 1),
+      ];
       const fleets = await Promise.all(
         SEEDS.map((seed) =>
-          played(new AskingFleet(188, tokensPerSecond, seed), loads),
+          simulateLoads(new QueryingFleet(188, tokensPerSecond, seed), loads),
         ),
       );
-      fleets.forEach(({ worstWindow, allowed }) =>
-        expect(worstWindow).toBeLessThanOrEqual(allowed),
+      fleets.forEach(({ maximumWindowTokens, allowed }) =>
+        expect(maximumWindowTokens).toBeLessThanOrEqual(allowed),
       );
     },
   );
@@ -309,16 +327,16 @@
   test.each([36_000, 400_000])(
     "hold at %d tokens a second when all hosts are killed twice",
     async (tokensPerSecond) => {
-      const fleet = new AskingFleet(188, tokensPerSecond, 3);
+      const fleet = new QueryingFleet(188, tokensPerSecond, 3);
       for (let round = 0; round < 50; round += 1) {
         if (round === 12 || round === 20) fleet.killAll();
         await fleet.round(4.4);
       }
-      expect(fleet.worstWindow).toBeLessThanOrEqual(fleet.allowed);
+      expect(fleet.maximumWindowTokens).toBeLessThanOrEqual(fleet.allowed);
     },
   );
 
-  test("are decided by the host itself where no relay answers", async () => {
+  test("are decided by the host itself if no relay answers", async () => {
     const clock = new ManualClock(0);
     const limits = new WorkspaceLimits(TOLERANCE, RELAYED_PACE, {
       random: seededRandom(1),
--- a/packages/rampswitch-serving/src/admission/mod.ts
+++ b/packages/rampswitch-serving/src/admission/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Limits that all hosts share.
+ * Limits that all hosts share: tokens of workspaces and the resend budget.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/admission/peer_spending.ts
+++ b/packages/rampswitch-serving/src/admission/peer_spending.ts
@@ -1,181 +1,196 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What the other hosts have admitted, as they or a relay tell, and which share
- * of the limits those may be spending that are not heard.
+ * Tracks what the other hosts have admitted, as they or a relay report it, and
+ * which share of the limits the silent hosts may be consuming.
  *
  * @module
  */
-import type { SpendingPace } from "./spending_pacer.ts";
+import type { GossipTiming } from "./spending_pacer.ts";
 
 /**
- * Hosts that a host takes there to be before it has read the list of hosts. All
- * may have started at once, and each would take a whole bucket for its own.
+ * Number of hosts that is assumed before the list of hosts was read. All hosts
+ * may have started at once, and without an assumption each would treat a whole
+ * bucket as its own.
  */
-const HOSTS_BEFORE_LIST = 32;
+const ASSUMED_HOSTS_BEFORE_LIST = 32;
 
 /**
- * Peers silent for longer than this are taken to be gone, if most others are
- * heard; in milliseconds. Several times the longest cut that hosts are known to
- * serve through.
+ * Silence after which a peer counts as gone while at least half of the peers
+ * are active, in milliseconds. Several times the longest network cut during
+ * which hosts are known to continue serving.
  */
-const PEER_GONE_MILLISECONDS = 30_000;
+const PEER_TIMEOUT_MILLISECONDS = 30_000;
 
 /**
- * The same for a host that hears few of the others: it may be the one that is
- * cut off, and waits longer.
+ * Silence after which a peer counts as gone while fewer than half of the peers
+ * are active, in milliseconds. Longer, since this host may be the one that is
+ * cut off.
  */
-const MOST_GONE_MILLISECONDS = 60_000;
+const ISOLATED_PEER_TIMEOUT_MILLISECONDS = 60_000;
 
 /**
- * Silence after which a peer is taken to be gone, in milliseconds, where so many of
- * all peers are heard.
+ * Silence after which a peer counts as gone, in milliseconds, given how many of
+ * all peers are active (not silent).
  */
-export function goneAfterMilliseconds(heard: number, peers: number): number {
-  return heard * 2 < peers ? MOST_GONE_MILLISECONDS : PEER_GONE_MILLISECONDS;
+export function goneAfterMilliseconds(active: number, peers: number): number {
+  return active * 2 < peers
+    ? ISOLATED_PEER_TIMEOUT_MILLISECONDS
+    : PEER_TIMEOUT_MILLISECONDS;
 }
 
+/** The newest report of a relay. */
 interface FollowedRelay {
-  readonly heardAt: number;
+  readonly receivedAt: number;
   readonly hosts: number;
   readonly silentShare: number;
 }
 
-interface PeerSpending {
-  /** `undefined` before the peer told anything. */
+/** What one peer has consumed, as it last reported. */
+interface PeerConsumption {
+  /** `undefined` until the peer reports. */
   readonly incarnation: string | undefined;
-  /** Total that the peer has told for each workspace since its start. */
+  /** Tokens that the peer admitted for each workspace since its start. */
   readonly totals: ReadonlyMap<string, number>;
-  readonly heardAt: number;
+  readonly receivedAt: number;
   readonly stopping: boolean;
 }
 
-/** What a host has admitted for each workspace since its start, in tokens. */
+/** Tokens that a host has admitted for each workspace since its start. */
 export type AdmittedTotals = Readonly<Record<string, number>>;
 
-/** A peer's word on its own spending. */
-export interface SpendingNews {
+/** A peer's update on its own consumption. */
+export interface ConsumptionUpdate {
   readonly incarnation: string;
   readonly totals: AdmittedTotals;
-  /** Whether the peer is about to end and to spend nothing more. */
+  /** Whether the peer is about to end and will consume nothing more. */
   readonly stopping: boolean;
 }
 
-/** The other hosts as spenders of the limits. */
-export class PeerSpenders {
-  readonly #peers = new Map<string, PeerSpending>();
-  /** Set while this host hears of the others by a relay alone. */
+/** Tracks the other hosts' consumption of the limits. */
+export class PeerConsumptionTracker {
+  readonly #peers = new Map<string, PeerConsumption>();
+  /**
+   * Set while this host receives updates about the others only from a relay.
+   */
   #relay: FollowedRelay | undefined;
   /** Whether the list of hosts was read. */
   #listed = false;
-  #pace: SpendingPace;
+  #timing: GossipTiming;
 
-  constructor(pace: SpendingPace) {
-    this.#pace = pace;
+  constructor(timing: GossipTiming) {
+    this.#timing = timing;
   }
 
-  /** Changes how old the news of others may be. */
-  setPace(pace: SpendingPace): void {
-    this.#pace = pace;
+  /** Changes how old the updates of other hosts may be. */
+  setGossipTiming(timing: GossipTiming): void {
+    this.#timing = timing;
   }
 
-  /** Takes in that the list of hosts was read. */
-  hostsListed(): void {
+  /** Records that the list of hosts was read. */
+  markHostsListed(): void {
     this.#listed = true;
   }
 
-  /** Takes in that a peer is listed that has told nothing yet. */
-  expected(peer: string, now: number): void {
+  /** Adds a listed peer that may not have reported yet. */
+  addExpectedPeer(peer: string, now: number): void {
     if (this.#peers.has(peer)) return;
     this.#peers.set(peer, {
       incarnation: undefined,
       totals: new Map(),
-      heardAt: now - this.#pace.silence,
+      receivedAt: now - this.#timing.silence,
       stopping: false,
     });
   }
 
-  /** Takes in what a peer has admitted; returns what is new of it. */
-  heard(
+  /**
+   * Records a peer's totals; returns the tokens of each workspace that were not
+   * counted before.
+   */
+  receiveUpdate(
     peer: string,
-    news: SpendingNews,
+    update: ConsumptionUpdate,
     now: number,
   ): ReadonlyMap<string, number> {
     const before = this.#peers.get(peer);
-    const sameLife = before?.incarnation === news.incarnation;
-    const totals = new Map(Object.entries(news.totals));
+    const sameIncarnation = before?.incarnation === update.incarnation;
+    const totals = new Map(Object.entries(update.totals));
     this.#peers.set(peer, {
-      incarnation: news.incarnation,
+      incarnation: update.incarnation,
       totals,
-      heardAt: now,
-      stopping: news.stopping,
+      receivedAt: now,
+      stopping: update.stopping,
     });
-    // What was spent before the first news is in the levels that others tell.
+    // Consumption before the first update is already part of the levels that
+    // other hosts report.
     if (before?.incarnation === undefined) return new Map();
-    const known = sameLife ? before.totals : new Map<string, number>();
+    const previousTotals = sameIncarnation
+      ? before.totals
+      : new Map<string, number>();
     return new Map(
       [...totals].map(([name, total]) => [
         name,
-        total - (known.get(name) ?? 0),
+        total - (previousTotals.get(name) ?? 0),
       ]),
     );
   }
 
-  /** Hears of the other hosts from themselves from now on. */
+  /** Uses the updates of the other hosts themselves from now on. */
   followPeers(): void {
     if (this.#relay === undefined) return;
     this.#relay = undefined;
-    // What peers spent meanwhile is in the levels that the relay told.
+    // Consumption of peers in the meantime is already part of the levels that
+    // the relay reported.
     this.#peers.forEach((peer, name) =>
       this.#peers.set(name, { ...peer, incarnation: undefined }),
     );
   }
 
   /**
-   * Hears of the other hosts by a relay's word alone from now on; without a
-   * share, the relay has not heard the others itself.
+   * Uses only the reports of a relay from now on. `silentShare` is `undefined`
+   * if the relay has not received the updates of the others itself.
    */
   followRelay(
-    told: { readonly hosts: number; readonly silentShare: number | undefined },
+    view: { readonly hosts: number; readonly silentShare: number | undefined },
     now: number,
   ): void {
-    const { hosts } = told;
-    const silentShare = told.silentShare ?? evenSilentShare(hosts);
-    this.#relay = { hosts, silentShare, heardAt: now };
+    const { hosts } = view;
+    const silentShare = view.silentShare ?? otherHostsShare(hosts);
+    this.#relay = { hosts, silentShare, receivedAt: now };
   }
 
-  /** Hosts that may be admitting, this one included. */
+  /** Number of hosts that may be admitting, including this one. */
   hosts(now: number): number {
-    return this.#relay?.hosts ?? this.#spenders(now).length + 1;
+    return this.#relay?.hosts ?? this.#possibleConsumers(now).length + 1;
   }
 
-  /** Share of the fleet's limits that silent peers may be spending. */
+  /** Share of the fleet's limits that silent peers may be consuming. */
   silentShare(now: number): number {
     const relay = this.#relay;
     if (relay !== undefined) {
-      const heard = now - relay.heardAt < this.#pace.silence;
-      return heard ? relay.silentShare : evenSilentShare(relay.hosts);
+      const isRecent = now - relay.receivedAt < this.#timing.silence;
+      return isRecent ? relay.silentShare : otherHostsShare(relay.hosts);
     }
-    if (!this.#listed) return evenSilentShare(HOSTS_BEFORE_LIST);
-    const spenders = this.#spenders(now);
-    const silent = spenders.filter((peer) => this.#isSilent(peer, now)).length;
-    return silent / (spenders.length + 1);
+    if (!this.#listed) return otherHostsShare(ASSUMED_HOSTS_BEFORE_LIST);
+    const consumers = this.#possibleConsumers(now);
+    const silent = consumers.filter((peer) => this.#isSilent(peer, now)).length;
+    return silent / (consumers.length + 1);
   }
 
-  /** Peers that may be spending. */
-  #spenders(now: number): readonly PeerSpending[] {
+  /** Peers that may be consuming: neither stopping nor gone. */
+  #possibleConsumers(now: number): readonly PeerConsumption[] {
     const peers = [...this.#peers.values()].filter((peer) => !peer.stopping);
-    const heard = peers.filter((peer) => !this.#isSilent(peer, now)).length;
-    const gone = goneAfterMilliseconds(heard, peers.length);
-    return peers.filter((peer) => now - peer.heardAt < gone);
+    const active = peers.filter((peer) => !this.#isSilent(peer, now)).length;
+    const timeout = goneAfterMilliseconds(active, peers.length);
+    return peers.filter((peer) => now - peer.receivedAt < timeout);
   }
 
-  #isSilent(peer: PeerSpending, now: number): boolean {
-    return now - peer.heardAt >= this.#pace.silence;
+  #isSilent(peer: PeerConsumption, now: number): boolean {
+    return now - peer.receivedAt >= this.#timing.silence;
   }
 }
 
-/** Share of all hosts but one, none of which is heard. */
-function evenSilentShare(hosts: number): number {
+/** Share of all hosts but one, for when all of those are silent. */
+function otherHostsShare(hosts: number): number {
   return 1 - 1 / Math.max(1, hosts);
 }
--- a/packages/rampswitch-serving/src/admission/resend_budget.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget.ts
@@ -1,92 +1,98 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The fleet's budget of repeated sends, split so that no host has to ask: each
- * host may repeat a share of the requests that it took itself in a sliding
- * window, and an even part of the fixed allowance.
+ * The fleet's resend budget, split so that no host has to query another: in a
+ * sliding window each host may resend a share of the requests that it received
+ * itself, and an even part of the fixed allowance.
  *
- * A host that was killed no longer knows what it spent, nor how many others
- * there are. So a new life earns its part by and by, and takes a fleet to be as
- * large as it was lately.
+ * A host that was killed has lost the count of its resends and the number of
+ * hosts. So a new incarnation earns its part gradually over the first window,
+ * and a fleet counts as large as it was recently.
  *
  * @module
  */
 
-/** Terms of the fleet's budget. */
+/** Terms of the fleet's resend budget. */
 export interface ResendTerms {
-  /** Repeats allowed for each request of the window. */
+  /** Resends allowed for each request of the window. */
   readonly share: number;
-  /** Repeats of the whole fleet allowed on top in each window. */
+  /** Further resends that the whole fleet may make in each window. */
   readonly allowance: number;
   readonly windowMilliseconds: number;
 }
 
-/** What a send beyond a request's first is for. */
+/** The purpose of a resend. */
 export type ResendKind =
-  /** The request itself, once more. */
+  /** The request is sent again. */
   | "repeat"
-  /** A stopped stream that was turned away; without it the stream ends. */
+  /**
+   * A stopped stream was turned away; without a further send the stream ends.
+   */
   | "continuation";
 
-/** One host's part of the budget in the window that ends now. */
+/** One host's part of the resend budget in the window that ends now. */
 export interface ResendState {
   readonly spent: number;
-  /** The whole part; ordinary repeats stop before it is used up. */
+  /** The whole part; ordinary resends stop before it is used up. */
   readonly allowed: number;
 }
 
-/** When a host asks, and how many hosts it counts, itself included. */
+/** The time, and the number of hosts that a host counts, including itself. */
 export interface ResendAsked {
   readonly now: number;
-  /** `undefined` before this life has read the list of hosts. */
+  /** `undefined` until this incarnation has read the list of hosts. */
   readonly hosts: number | undefined;
 }
 
 /**
- * Part of the budget that is used; the rest covers hosts that were not known
- * when the allowance was split, and runs that the platform counts otherwise.
- * A stopped stream may use more, since it breaks where it can't go on. The send
- * that first carries its memory is the same run to the platform, and costs none.
+ * Share of the budget that is used. The remainder covers hosts that were
+ * unknown when the allowance was split, and runs that the platform counts
+ * differently. A stopped stream may use more, since it breaks if it can't
+ * continue. The send that first carries its KV-cache memory is the same run to
+ * the platform, and is not charged.
  */
-const USED_SHARES: Readonly<Record<ResendKind, number>> = {
+const USABLE_SHARES: Readonly<Record<ResendKind, number>> = {
   repeat: 0.8,
   continuation: 0.95,
 };
 
 /**
- * Sends of a window that are allowed however little was earned, so that a host
- * that has just started can still help one request, and one stream besides.
+ * Sends that are allowed in a window however little was earned, so that a host
+ * that has just started can still resend one request, and continue one stream
+ * besides.
  */
-const LEAST_PART: Readonly<Record<ResendKind, number>> = {
+const MINIMUM_SENDS: Readonly<Record<ResendKind, number>> = {
   repeat: 1,
   continuation: 2,
 };
 
 /**
- * Parts of the window that are counted by themselves. The oldest counts with
- * all its repeats and none of its requests, so a coarse count allows less.
+ * Buckets into which a window is divided. The oldest counts with all its
+ * resends and none of its requests, so that the coarse count never allows more
+ * than an exact one.
  */
-const BUCKETS_EACH_WINDOW = 20;
+const BUCKETS_PER_WINDOW = 20;
 
 /**
- * Hosts that a host takes there to be at least in its first window. All may have
- * started at once, with a list that holds few of them, and each would take a
- * large part for its own.
+ * Minimum number of hosts that an incarnation assumes in its first window. All
+ * hosts may have started at once, with a list that holds few of them, and each
+ * would treat a large part of the allowance as its own.
  */
-const HOSTS_AT_START = 32;
+const MINIMUM_HOSTS_IN_FIRST_WINDOW = 32;
 
 /**
- * Time for which a fleet is not taken to be smaller than it was, in
- * milliseconds: several times the longest cut that hosts serve through.
+ * Time for which a fleet counts as no smaller than it was, in milliseconds.
+ * Several times the longest network cut during which hosts continue serving.
  */
-const HOSTS_REMEMBERED_MILLISECONDS = 60_000;
+const FLEET_SIZE_RETENTION_MILLISECONDS = 60_000;
 
 /**
- * Part of its budget that a life uses in its first window, when repeats of the
- * life before may still stand in the fleet's window.
+ * Share of its budget that an incarnation uses in its first window, while
+ * resends of the previous incarnation may still count in the fleet's window.
  */
-const NEW_LIFE_SHARE = 0.5;
+const FIRST_WINDOW_SHARE = 0.5;
 
+/** Counts of one part of the window. */
 interface Bucket {
   readonly from: number;
   readonly to: number;
@@ -94,48 +100,56 @@
   repeats: number;
 }
 
-/** One host's part of the budget, for each service by itself. */
+/**
+ * One host's part of the resend budget, counted separately for each service.
+ */
 export class ResendBudget {
   #terms: ResendTerms;
   #startedAt: number | undefined;
   readonly #services = new Map<string, readonly Bucket[]>();
-  readonly #fleet = new RecentSize(HOSTS_REMEMBERED_MILLISECONDS);
+  readonly #recentFleetSize = new RecentFleetSize(
+    FLEET_SIZE_RETENTION_MILLISECONDS,
+  );
 
-  /** A life that began at `startedAt`, or else with the first request. */
+  /**
+   * `startedAt` is the start of the incarnation; by default the first request.
+   */
   constructor(terms: ResendTerms, startedAt?: number) {
     this.#terms = terms;
     this.#startedAt = startedAt;
   }
 
-  /** Changes the fleet's terms. */
+  /** Changes the terms; what was spent before still counts. */
   setTerms(terms: ResendTerms): void {
     this.#terms = terms;
   }
 
-  /** Notes a caller's request for a service, and the hosts known with it. */
+  /**
+   * Counts a caller's request for a service, and records the number of hosts.
+   */
   requested(service: string, { now, hosts }: ResendAsked): void {
     this.#startedAt ??= now;
-    this.#fleet.heard(hosts, now);
+    this.#recentFleetSize.recordSize(hosts, now);
     this.#newestBucket(service, now).requests += 1;
   }
 
-  /** Spends one send beyond a request's first, if this host's part allows. */
+  /** Spends one resend, if this host's part of the budget allows it. */
   spend(
     service: string,
-    asked: ResendAsked & { readonly kind?: ResendKind },
+    context: ResendAsked & { readonly kind?: ResendKind },
   ): boolean {
-    this.#startedAt ??= asked.now;
-    this.#fleet.heard(asked.hosts, asked.now);
-    const { spent, allowed } = this.state(service, asked);
-    const kind = asked.kind ?? "repeat";
-    const used = USED_SHARES[kind] * allowed;
-    const least = Math.min(LEAST_PART[kind], this.#terms.allowance);
-    if (spent + 1 > Math.max(least, used)) return false;
-    this.#newestBucket(service, asked.now).repeats += 1;
+    this.#startedAt ??= context.now;
+    this.#recentFleetSize.recordSize(context.hosts, context.now);
+    const { spent, allowed } = this.state(service, context);
+    const kind = context.kind ?? "repeat";
+    const usable = USABLE_SHARES[kind] * allowed;
+    const minimum = Math.min(MINIMUM_SENDS[kind], this.#terms.allowance);
+    if (spent + 1 > Math.max(minimum, usable)) return false;
+    this.#newestBucket(service, context.now).repeats += 1;
     return true;
   }
 
-  /** What is spent and allowed now; changes nothing. */
+  /** The resends that are spent and allowed now; changes nothing. */
   state(service: string, { now, hosts }: ResendAsked): ResendState {
     const oldest = now - this.#terms.windowMilliseconds;
     const buckets = this.#services.get(service) ?? [];
@@ -147,29 +161,33 @@
       buckets.filter(({ to }) => to > oldest),
       "repeats",
     );
-    const known = this.#fleet.size(hosts, now);
-    const whole = this.#terms.share * requests + this.#part(known, now);
-    return { spent, allowed: this.#usable(now) * whole };
+    const fleetSize = this.#recentFleetSize.size(hosts, now);
+    const whole =
+      this.#terms.share * requests + this.#allowancePart(fleetSize, now);
+    return { spent, allowed: this.#usableShare(now) * whole };
   }
 
-  /** Share of the window that this life has lasted, at most 1. */
-  #lived(now: number): number {
+  /** Age of this incarnation as a share of the window, at most 1. */
+  #elapsedShare(now: number): number {
     const age = now - (this.#startedAt ?? now);
     return Math.min(1, age / this.#terms.windowMilliseconds);
   }
 
-  /** Part of the budget that this life uses. */
-  #usable(now: number): number {
-    return this.#lived(now) < 1 ? NEW_LIFE_SHARE : 1;
+  /** Share of its budget that this incarnation uses. */
+  #usableShare(now: number): number {
+    return this.#elapsedShare(now) < 1 ? FIRST_WINDOW_SHARE : 1;
   }
 
-  /** This host's part of the fixed allowance, as far as it is earned. */
-  #part(known: number | undefined, now: number): number {
-    const lived = this.#lived(now);
-    // Who reads no list for that long is cut off, and may be one of many.
-    if (known === undefined && lived >= 1) return 0;
-    const least = lived < 1 ? HOSTS_AT_START : 1;
-    return (lived * this.#terms.allowance) / Math.max(least, known ?? 1);
+  /** The part of the fixed allowance that this host has earned. */
+  #allowancePart(fleetSize: number | undefined, now: number): number {
+    const elapsed = this.#elapsedShare(now);
+    // A host that can't read the list for a whole window is cut off, and may be
+    // one of many.
+    if (fleetSize === undefined && elapsed >= 1) return 0;
+    const minimumHosts = elapsed < 1 ? MINIMUM_HOSTS_IN_FIRST_WINDOW : 1;
+    return (
+      (elapsed * this.#terms.allowance) / Math.max(minimumHosts, fleetSize ?? 1)
+    );
   }
 
   #newestBucket(service: string, now: number): Bucket {
@@ -178,46 +196,46 @@
     if (newest !== undefined && now < newest.to) return newest;
     const { windowMilliseconds } = this.#terms;
     const oldest = now - windowMilliseconds;
-    const to = now + windowMilliseconds / BUCKETS_EACH_WINDOW;
+    const to = now + windowMilliseconds / BUCKETS_PER_WINDOW;
     const added: Bucket = { from: now, to, requests: 0, repeats: 0 };
-    const kept = buckets.filter((bucket) => bucket.to > oldest);
-    this.#services.set(service, [...kept, added]);
+    const recent = buckets.filter((bucket) => bucket.to > oldest);
+    this.#services.set(service, [...recent, added]);
     return added;
   }
 }
 
-interface HeardSize {
+interface FleetSizeSample {
   readonly hosts: number;
   readonly at: number;
 }
 
-/** The largest number of hosts that was known lately. */
-class RecentSize {
-  readonly #rememberedMilliseconds: number;
+/** The largest number of hosts that was known recently. */
+class RecentFleetSize {
+  readonly #retentionMilliseconds: number;
   /** From the oldest and largest to the newest and smallest. */
-  #heard: readonly HeardSize[] = [];
+  #samples: readonly FleetSizeSample[] = [];
 
-  constructor(rememberedMilliseconds: number) {
-    this.#rememberedMilliseconds = rememberedMilliseconds;
+  constructor(retentionMilliseconds: number) {
+    this.#retentionMilliseconds = retentionMilliseconds;
   }
 
-  /** Notes how many hosts are known now. */
-  heard(hosts: number | undefined, now: number): void {
+  /** Records how many hosts are known now. */
+  recordSize(hosts: number | undefined, now: number): void {
     if (hosts === undefined) return;
-    const larger = this.#recent(now).filter((heard) => heard.hosts > hosts);
-    this.#heard = [...larger, { hosts, at: now }];
+    const larger = this.#recent(now).filter((sample) => sample.hosts > hosts);
+    this.#samples = [...larger, { hosts, at: now }];
   }
 
-  /** Hosts to count with; `undefined` where none were ever known. */
+  /** Number of hosts to assume; `undefined` if no recent number is known. */
   size(hosts: number | undefined, now: number): number | undefined {
     const recent = this.#recent(now)[0]?.hosts;
     if (hosts === undefined) return recent;
     return Math.max(1, hosts, recent ?? 1);
   }
 
-  #recent(now: number): readonly HeardSize[] {
-    const oldest = now - this.#rememberedMilliseconds;
-    return this.#heard.filter(({ at }) => at > oldest);
+  #recent(now: number): readonly FleetSizeSample[] {
+    const oldest = now - this.#retentionMilliseconds;
+    return this.#samples.filter(({ at }) => at > oldest);
   }
 }
 
--- a/packages/rampswitch-serving/src/admission/resend_budget_fleet_test.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget_fleet_test.ts
@@ -1,9 +1,10 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The budgets of all hosts of a fleet together, against the fleet's terms as
- * the platform counts them: arrivals beyond the first in any window, and the
- * requests of that window, of the one before or half before.
+ * Checks the resend budgets of all hosts together against the fleet's terms, as
+ * the platform counts them: the resends that arrive in any window, against the
+ * requests of that window, of the one before it or of the one half a window
+ * earlier, whichever had most.
  *
  * @module
  */
@@ -15,26 +16,26 @@
 const STEP_MILLISECONDS = 50;
 const END_MILLISECONDS = 45_000;
 
-/** Sends of one request that repeat another, at most; as requests do. */
+/** Maximum number of resends of one request, as in the relay. */
 const MAXIMUM_RESENDS = 4;
 
-/** Time in which the runs of a reclaimed data hall move, in milliseconds. */
-const WAVE_MILLISECONDS = 1_500;
+/** Time in which the runs of a reclaimed data hall migrate, in milliseconds. */
+const MIGRATION_WAVE_MILLISECONDS = 1_500;
 
-/** Share of the running streams that a reclaimed data hall had. */
-const WAVE_SHARE = 0.25;
+/** Share of the running streams that a reclaimed data hall holds. */
+const MIGRATION_WAVE_SHARE = 0.25;
 
-/** Mean life of a stream, in seconds. */
-const STREAM_SECONDS = 2;
+/** Mean duration of a stream, in seconds. */
+const MEAN_STREAM_SECONDS = 2;
 
-/** Time that a killed host is away, in milliseconds. */
-const AWAY_MILLISECONDS = 2_000;
+/** Time until a killed host runs again, in milliseconds. */
+const RESTART_MILLISECONDS = 2_000;
 
-/** Hosts in a list that is read before most have registered. */
-const SHORT_LIST = 3;
+/** Hosts in a list that is read before most hosts have registered. */
+const SHORT_LIST_HOSTS = 3;
 
-/** Silence after which hosts no longer count each other, in milliseconds. */
-const GONE_MILLISECONDS = 10_000;
+/** Silence after which hosts no longer count a peer, in milliseconds. */
+const PEER_TIMEOUT_MILLISECONDS = 10_000;
 
 interface Fleet {
   readonly name: string;
@@ -44,7 +45,7 @@
   readonly allowance: number;
 }
 
-/** Sizes, rates and terms of fleets that are served. */
+/** Sizes, rates and terms of the simulated fleets. */
 const FLEETS: readonly Fleet[] = [
   { name: "base", hosts: 9, requestsEachSecond: 110, allowance: 58 },
   { name: "grown", hosts: 87, requestsEachSecond: 430, allowance: 214 },
@@ -56,33 +57,33 @@
   readonly to: number;
 }
 
-/** What happens to a fleet; times are in milliseconds of the simulation. */
-interface Troubles {
+/** Faults in a fleet; times are in milliseconds of the simulation. */
+interface FaultPlan {
   /** When the processes of all hosts start. */
   readonly startAt: number;
-  /** Begins of waves of moved runs. */
+  /** Times at which a wave of migrations begins. */
   readonly waves: readonly number[];
-  /** When servers turn away half of the requests. */
+  /** Span in which servers turn away half of the requests. */
   readonly rejecting: Span;
-  /** When all hosts are killed. */
+  /** Times at which all hosts are killed. */
   readonly kills: readonly number[];
-  /** Time after a start in which a host has heard of no other. */
-  readonly unheard: number;
-  /** Time after a start in which hosts stand in a list of three. */
-  readonly shortList: number;
-  /** When a third of the hosts hears nobody and is heard by nobody. */
+  /** Time after a start for which a host has no list of hosts. */
+  readonly withoutListMilliseconds: number;
+  /** Time after a start for which the list of hosts holds only three. */
+  readonly shortListMilliseconds: number;
+  /** Span in which a third of the hosts is cut off from all others. */
   readonly cut: Span;
 }
 
 const NEVER: Span = { from: Infinity, to: Infinity };
 
-const CALM: Troubles = {
+const NO_FAULTS: FaultPlan = {
   startAt: -20_000,
   waves: [],
   rejecting: NEVER,
   kills: [],
-  unheard: 0,
-  shortList: 0,
+  withoutListMilliseconds: 0,
+  shortListMilliseconds: 0,
   cut: NEVER,
 };
 
@@ -92,56 +93,67 @@
 const CUT: Span = { from: 2_000, to: 40_000 };
 const LONG_CUT: Span = { from: -120_000, to: 40_000 };
 
-const SCENARIOS: readonly (readonly [string, Partial<Troubles>])[] = [
+const SCENARIOS: readonly (readonly [string, Partial<FaultPlan>])[] = [
   ["servers turn away half", { rejecting: REJECTING }],
-  ["two waves of moves", { waves: WAVES }],
+  ["two waves of migrations", { waves: WAVES }],
   ["two waves, half turned away", { waves: WAVES, rejecting: REJECTING }],
-  ["killed twice, half turned away", { kills: KILLS, rejecting: REJECTING }],
+  [
+    "all killed twice, half turned away",
+    { kills: KILLS, rejecting: REJECTING },
+  ],
   [
     "started together, half turned away",
-    { startAt: 0, unheard: 2_000, rejecting: { from: 500, to: 20_000 } },
+    {
+      startAt: 0,
+      withoutListMilliseconds: 2_000,
+      rejecting: { from: 500, to: 20_000 },
+    },
   ],
   ["a third cut off, half turned away", { cut: CUT, rejecting: REJECTING }],
   [
-    "a third cut off for long, half turned away",
+    "a third cut off for a long time, half turned away",
     { startAt: -140_000, cut: LONG_CUT, rejecting: REJECTING },
   ],
   [
     "started together with a short list, half turned away",
-    { startAt: 0, shortList: 4_000, rejecting: { from: 500, to: 20_000 } },
+    {
+      startAt: 0,
+      shortListMilliseconds: 4_000,
+      rejecting: { from: 500, to: 20_000 },
+    },
   ],
   [
-    "all together",
+    "all faults together",
     {
       startAt: 0,
       waves: WAVES,
       rejecting: REJECTING,
       kills: KILLS,
-      unheard: 2_000,
+      withoutListMilliseconds: 2_000,
       cut: CUT,
     },
   ],
 ];
 
 interface Counts {
-  /** Most that repeats made of what was allowed, over all windows. */
-  readonly worst: number;
+  /** Maximum over all windows of resends divided by allowed resends. */
+  readonly worstShare: number;
   readonly repeatsWanted: number;
   readonly repeats: number;
-  readonly movesWanted: number;
-  readonly moves: number;
+  readonly migrationsWanted: number;
+  readonly migrations: number;
 }
 
-interface Asked {
+interface SpendContext {
   readonly now: number;
   readonly hosts: number | undefined;
 }
 
-/** Moved runs that were turned away ask before ordinary repeats. */
+/** Migrated runs that were turned away may use more than ordinary resends. */
 const CONTINUATION = { kind: "continuation" } as const;
 
-/** Numbers from 0 to 1 that repeat themselves: a linear congruence. */
-class Draws {
+/** Reproducible random numbers from 0 up to 1. */
+class LinearCongruentialGenerator {
   #state: number;
 
   constructor(seed: number) {
@@ -154,12 +166,12 @@
   }
 }
 
-/** One play of a fleet's budgets. */
-class FleetPlay {
+/** One simulation of a fleet's budgets. */
+class FleetSimulation {
   readonly #fleet: Fleet;
-  readonly #troubles: Troubles;
+  readonly #faultPlan: FaultPlan;
   readonly #terms: ResendTerms;
-  readonly #random = new Draws(28);
+  readonly #random = new LinearCongruentialGenerator(28);
   #budgets: readonly ResendBudget[] = [];
   #startedAt: number;
   readonly #requests: number[] = [];
@@ -167,28 +179,28 @@
   readonly #counts = {
     repeatsWanted: 0,
     repeats: 0,
-    movesWanted: 0,
-    moves: 0,
+    migrationsWanted: 0,
+    migrations: 0,
   };
 
-  constructor(fleet: Fleet, troubles: Partial<Troubles>) {
+  constructor(fleet: Fleet, faultPlan: Partial<FaultPlan>) {
     this.#fleet = fleet;
-    this.#troubles = { ...CALM, ...troubles };
+    this.#faultPlan = { ...NO_FAULTS, ...faultPlan };
     this.#terms = {
       share: 0.2,
       allowance: fleet.allowance,
       windowMilliseconds: WINDOW_MILLISECONDS,
     };
-    this.#startedAt = this.#troubles.startAt;
+    this.#startedAt = this.#faultPlan.startAt;
     this.#start(this.#startedAt);
   }
 
-  /** Plays all steps and counts as the platform does. */
-  play(): Counts {
+  /** Simulates all steps and counts as the platform does. */
+  simulate(): Counts {
     Array.from({ length: END_MILLISECONDS / STEP_MILLISECONDS }).forEach(
       (_, step) => this.#step(step * STEP_MILLISECONDS),
     );
-    return { ...this.#counts, worst: this.#worst() };
+    return { ...this.#counts, worstShare: this.#worstShare() };
   }
 
   #start(now: number): void {
@@ -200,74 +212,81 @@
   }
 
   #step(now: number): void {
-    const { kills } = this.#troubles;
-    const away = kills.some((at) => now >= at && now < at + AWAY_MILLISECONDS);
-    if (kills.some((at) => now === at + AWAY_MILLISECONDS)) this.#start(now);
+    const { kills } = this.#faultPlan;
+    const isDown = kills.some(
+      (at) => now >= at && now < at + RESTART_MILLISECONDS,
+    );
+    if (kills.some((at) => now === at + RESTART_MILLISECONDS)) this.#start(now);
     const { requestsEachSecond } = this.#fleet;
-    this.#times(this.#drawn(requestsEachSecond), () => {
+    this.#callTimes(this.#drawCount(requestsEachSecond), () => {
       this.#requests.push(now);
-      if (!away) this.#request(now);
+      if (!isDown) this.#startRequest(now);
     });
-    if (away) return;
-    const moving = this.#troubles.waves.some(
-      (at) => now >= at && now < at + WAVE_MILLISECONDS,
+    if (isDown) return;
+    const isMigrating = this.#faultPlan.waves.some(
+      (at) => now >= at && now < at + MIGRATION_WAVE_MILLISECONDS,
     );
-    const moved = requestsEachSecond * STREAM_SECONDS * WAVE_SHARE;
-    if (!moving) return;
-    this.#times(this.#drawn((moved * 1_000) / WAVE_MILLISECONDS), () =>
-      this.#move(now),
+    const migratedRuns =
+      requestsEachSecond * MEAN_STREAM_SECONDS * MIGRATION_WAVE_SHARE;
+    if (!isMigrating) return;
+    this.#callTimes(
+      this.#drawCount((migratedRuns * 1_000) / MIGRATION_WAVE_MILLISECONDS),
+      () => this.#migrateRun(now),
     );
   }
 
-  #request(now: number): void {
-    const host = this.#anyHost();
-    const asked = { now, hosts: this.#hostsKnownBy(host, now) };
+  #startRequest(now: number): void {
+    const host = this.#randomHost();
+    const context = { now, hosts: this.#hostsCountedBy(host, now) };
     const budget = this.#budgetOf(host);
-    budget.requested(SERVICE, asked);
-    this.#whileTurnedAway(asked, () => budget.spend(SERVICE, asked));
+    budget.requested(SERVICE, context);
+    this.#resendWhileTurnedAway(context, () => budget.spend(SERVICE, context));
   }
 
-  #move(now: number): void {
-    const host = this.#anyHost();
-    const asked = { now, hosts: this.#hostsKnownBy(host, now) };
+  #migrateRun(now: number): void {
+    const host = this.#randomHost();
+    const context = { now, hosts: this.#hostsCountedBy(host, now) };
     const budget = this.#budgetOf(host);
-    this.#counts.movesWanted += 1;
-    // A run that goes on is the same run to the platform, and not counted.
-    this.#counts.moves += 1;
-    this.#whileTurnedAway(asked, () =>
-      budget.spend(SERVICE, { ...asked, ...CONTINUATION }),
+    this.#counts.migrationsWanted += 1;
+    // A continuation is the same run to the platform, and is not counted.
+    this.#counts.migrations += 1;
+    this.#resendWhileTurnedAway(context, () =>
+      budget.spend(SERVICE, { ...context, ...CONTINUATION }),
     );
   }
 
-  /** Sends again for as long as servers turn it away and the budget allows. */
-  #whileTurnedAway({ now }: Asked, maySend: () => boolean): void {
-    const { rejecting } = this.#troubles;
+  /** Resends while servers turn the request away and the budget allows it. */
+  #resendWhileTurnedAway({ now }: SpendContext, canSend: () => boolean): void {
+    const { rejecting } = this.#faultPlan;
     const turnsAway = now >= rejecting.from && now < rejecting.to;
     Array.from({ length: MAXIMUM_RESENDS }).every(() => {
       if (!turnsAway || this.#random.next() < 0.5) return false;
       this.#counts.repeatsWanted += 1;
-      if (!maySend()) return false;
+      if (!canSend()) return false;
       this.#counts.repeats += 1;
       this.#repeats.push(now);
       return true;
     });
   }
 
-  /** Hosts that one counts, itself included, once it has read their list. */
-  #hostsKnownBy(host: number, now: number): number | undefined {
+  /** Hosts that a host counts, including itself, once it has read the list. */
+  #hostsCountedBy(host: number, now: number): number | undefined {
     const { hosts } = this.#fleet;
-    const { cut, unheard, shortList } = this.#troubles;
-    if (now - this.#startedAt < unheard) return undefined;
-    if (now - this.#startedAt < shortList) return SHORT_LIST;
-    const counted = now - cut.from < GONE_MILLISECONDS;
-    if (counted || now >= cut.to) return hosts;
+    const { cut, withoutListMilliseconds, shortListMilliseconds } =
+      this.#faultPlan;
+    if (now - this.#startedAt < withoutListMilliseconds) return undefined;
+    if (now - this.#startedAt < shortListMilliseconds) return SHORT_LIST_HOSTS;
+    const isWithinTimeout = now - cut.from < PEER_TIMEOUT_MILLISECONDS;
+    if (isWithinTimeout || now >= cut.to) return hosts;
     const cutHosts = Math.floor(hosts / 3);
     if (host >= cutHosts) return hosts - cutHosts;
-    // Who hears nobody counts those in the list that it read last.
-    return this.#startedAt + unheard > cut.from ? undefined : hosts;
+    // A host that is cut off counts the hosts in the list that it read last.
+    return this.#startedAt + withoutListMilliseconds > cut.from
+      ? undefined
+      : hosts;
   }
 
-  #anyHost(): number {
+  #randomHost(): number {
     return Math.floor(this.#random.next() * this.#fleet.hosts);
   }
 
@@ -277,40 +296,45 @@
     return budget;
   }
 
-  /** A number of events in one step, drawn for their rate. */
-  #drawn(eachSecond: number): number {
-    const mean = (eachSecond * STEP_MILLISECONDS) / 1_000;
+  /** Draws the number of events in one step from their rate. */
+  #drawCount(ratePerSecond: number): number {
+    const mean = (ratePerSecond * STEP_MILLISECONDS) / 1_000;
     return Math.floor(mean + this.#random.next());
   }
 
-  #times(count: number, act: () => void): void {
-    Array.from({ length: count }).forEach(act);
+  #callTimes(count: number, action: () => void): void {
+    Array.from({ length: count }).forEach(action);
   }
 
-  #worst(): number {
+  #worstShare(): number {
     const ends = [...new Set(this.#repeats)];
     return Math.max(
       0,
-      ...ends.map((end) => within(this.#repeats, end) / this.#allowed(end)),
+      ...ends.map(
+        (end) => countInWindow(this.#repeats, end) / this.#allowedResends(end),
+      ),
     );
   }
 
-  #allowed(end: number): number {
+  #allowedResends(end: number): number {
     const requests = [0, WINDOW_MILLISECONDS / 2, WINDOW_MILLISECONDS].map(
-      (before) => within(this.#requests, end - before),
+      (before) => countInWindow(this.#requests, end - before),
     );
     return this.#terms.share * Math.max(...requests) + this.#terms.allowance;
   }
 }
 
-function within(times: readonly number[], end: number): number {
+function countInWindow(times: readonly number[], end: number): number {
   return times.filter((at) => at > end - WINDOW_MILLISECONDS && at <= end)
     .length;
 }
 
-describe.each(FLEETS)("budget of $name with $hosts hosts", (fleet) => {
-  test.each(SCENARIOS)("keeps the fleet's terms: %s", (_, troubles) => {
-    const { worst } = new FleetPlay(fleet, troubles).play();
-    expect(worst).toBeLessThanOrEqual(1);
-  });
-});
+describe.each(FLEETS)(
+  "resend budget of the $name fleet with $hosts hosts",
+  (fleet) => {
+    test.each(SCENARIOS)("keeps the fleet's terms: %s", (_, faultPlan) => {
+      const { worstShare } = new FleetSimulation(fleet, faultPlan).simulate();
+      expect(worstShare).toBeLessThanOrEqual(1);
+    });
+  },
+);
--- a/packages/rampswitch-serving/src/admission/resend_budget_test.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget_test.ts
@@ -6,11 +6,11 @@
 
 const TERMS = { share: 0.2, allowance: 56, windowMilliseconds: 10_000 };
 
-/** Start of a life whose first window is over. */
+/** Start of an incarnation whose first window is over. */
 const LONG_AGO = -60_000;
 
-describe("budget of repeated sends", () => {
-  test("all hosts together keep the fleet's budget in any window", () => {
+describe("resend budget", () => {
+  test("all hosts together stay within the budget in any window", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 12 }),
@@ -30,24 +30,24 @@
           const requests: number[] = [];
           const repeats: number[] = [];
           let now = 0;
-          steps.forEach(({ host, gap, repeats: wanted }) => {
+          steps.forEach(({ host, gap, repeats: resendCount }) => {
             now += gap;
             const budget = budgets[host % hosts];
             budget?.requested("service", { now, hosts });
             requests.push(now);
-            Array.from({ length: wanted }).forEach(() => {
+            Array.from({ length: resendCount }).forEach(() => {
               if (budget?.spend("service", { now, hosts }) === true) {
                 repeats.push(now);
               }
             });
           });
-          const within = (times: readonly number[], end: number) =>
+          const countWithin = (times: readonly number[], end: number) =>
             times.filter(
               (at) => at > end - TERMS.windowMilliseconds && at <= end,
             ).length;
           repeats.forEach((at) => {
-            expect(within(repeats, at)).toBeLessThanOrEqual(
-              TERMS.share * within(requests, at) + TERMS.allowance,
+            expect(countWithin(repeats, at)).toBeLessThanOrEqual(
+              TERMS.share * countWithin(requests, at) + TERMS.allowance,
             );
           });
         },
@@ -56,7 +56,7 @@
     );
   });
 
-  test("counting by buckets allows nothing that an exact count would not", () => {
+  test("counting by buckets never allows more than an exact count", () => {
     fc.assert(
       fc.property(
         fc.array(
@@ -74,19 +74,25 @@
           const repeats: number[] = [];
           let now = 0;
           steps.forEach(
-            ({ gap, requests: taken, repeats: wanted, stopped }) => {
+            ({
+              gap,
+              requests: requestCount,
+              repeats: resendCount,
+              stopped,
+            }) => {
               now += gap;
-              Array.from({ length: taken }).forEach(() => {
+              Array.from({ length: requestCount }).forEach(() => {
                 budget.requested("service", { now, hosts: 9 });
                 requests.push(now);
               });
               const kind = stopped ? "continuation" : "repeat";
-              Array.from({ length: wanted }).forEach(() => {
+              Array.from({ length: resendCount }).forEach(() => {
                 if (!budget.spend("service", { now, hosts: 9, kind })) return;
                 repeats.push(now);
                 const allowed =
-                  TERMS.share * within(requests, now) + TERMS.allowance / 9;
-                expect(within(repeats, now)).toBeLessThanOrEqual(
+                  TERMS.share * countInWindow(requests, now) +
+                  TERMS.allowance / 9;
+                expect(countInWindow(repeats, now)).toBeLessThanOrEqual(
                   (stopped ? 0.95 : 0.8) * allowed,
                 );
               });
@@ -98,7 +104,7 @@
     );
   });
 
-  test("a steady host repeats nearly what an exact count would allow", () => {
+  test("under constant load, nearly the exact count's maximum is resent", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const times = Array.from({ length: 1_200 }, (_, index) => index * 50);
     const repeats = times.filter((now) => {
@@ -106,35 +112,35 @@
       return budget.spend("service", { now, hosts: 9 });
     });
     const exact = 0.8 * (TERMS.share * 200 + TERMS.allowance / 9);
-    const last = within(repeats, times.at(-1) ?? 0);
+    const last = countInWindow(repeats, times.at(-1) ?? 0);
     expect(last).toBeGreaterThanOrEqual(0.9 * exact);
     expect(last).toBeLessThanOrEqual(exact);
   });
 
-  test("stopped streams go on where ordinary repeats have stopped", () => {
+  test("stopped streams continue after ordinary resends are refused", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
-    const asked = { now: 0, hosts: 1, kind: "repeat" } as const;
+    const context = { now: 0, hosts: 1, kind: "repeat" } as const;
     budget.requested("service", { now: 0, hosts: 2 });
-    expect(spendAll(budget, asked)).toBe(22);
-    expect(spendAll(budget, { ...asked, kind: "continuation" })).toBe(4);
-    expect(spendAll(budget, asked)).toBe(0);
+    expect(spendAll(budget, context)).toBe(22);
+    expect(spendAll(budget, { ...context, kind: "continuation" })).toBe(4);
+    expect(spendAll(budget, context)).toBe(0);
   });
 
-  test("a new life earns its part of the allowance over a window", () => {
+  test("a new incarnation earns its allowance over a window", () => {
     const budget = new ResendBudget(TERMS, 0);
     const part = (now: number) =>
       budget.state("service", { now, hosts: 56 }).allowed;
     expect([0, 5_000, 10_000, 60_000].map(part)).toEqual([0, 0.25, 1, 1]);
   });
 
-  test("a new life repeats its first request all the same, once", () => {
+  test("a new incarnation may resend its first request once", () => {
     const budget = new ResendBudget(TERMS);
     budget.requested("service", { now: 0, hosts: 1 });
-    const asked = { now: 0, hosts: 1, kind: "repeat" } as const;
-    expect(spendAll(budget, asked)).toBe(1);
+    const context = { now: 0, hosts: 1, kind: "repeat" } as const;
+    expect(spendAll(budget, context)).toBe(1);
   });
 
-  test("a life's first window takes the fleet for a large one", () => {
+  test("an incarnation assumes a large fleet in its first window", () => {
     const budget = new ResendBudget(TERMS, 0);
     const part = (hosts: number | undefined) =>
       budget.state("service", { now: 5_000, hosts }).allowed;
@@ -143,26 +149,26 @@
     expect(part(56)).toBe((0.25 * TERMS.allowance) / 56);
   });
 
-  test("who never read the list has no part of the allowance for long", () => {
+  test("a host that never reads the list loses its allowance", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const state = budget.state("service", { now: 0, hosts: undefined });
     expect(state).toEqual({ spent: 0, allowed: 0 });
   });
 
-  test("who stands alone in the list has the whole allowance", () => {
+  test("the only host in the list has the whole allowance", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const state = budget.state("service", { now: 0, hosts: 1 });
     expect(state).toEqual({ spent: 0, allowed: TERMS.allowance });
   });
 
-  test("a new life goes on with a stream whatever it has earned", () => {
+  test("a new incarnation may continue a stream whatever it has earned", () => {
     const budget = new ResendBudget(TERMS);
-    const asked = { now: 0, hosts: undefined } as const;
-    expect(spendAll(budget, { ...asked, kind: "repeat" })).toBe(1);
-    expect(spendAll(budget, { ...asked, kind: "continuation" })).toBe(1);
+    const context = { now: 0, hosts: undefined } as const;
+    expect(spendAll(budget, { ...context, kind: "repeat" })).toBe(1);
+    expect(spendAll(budget, { ...context, kind: "continuation" })).toBe(1);
   });
 
-  test("a fleet counts as large as it was within the last minute", () => {
+  test("a fleet counts as large as its maximum within the last minute", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const part = (now: number, hosts: number) =>
       budget.state("service", { now, hosts }).allowed;
@@ -175,46 +181,46 @@
     expect(part(80_000, 112)).toBe(0.5);
   });
 
-  test("what is told of the state changes nothing", () => {
+  test("reading the state changes nothing", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
-    const asked = { now: 0, hosts: 2 };
-    const before = budget.state("service", asked);
+    const context = { now: 0, hosts: 2 };
+    const before = budget.state("service", context);
     budget.state("service", { now: 0, hosts: 500 });
-    expect(budget.state("service", asked)).toEqual(before);
-    budget.spend("service", asked);
-    expect(budget.state("service", asked)).toEqual({ spent: 1, allowed: 28 });
+    expect(budget.state("service", context)).toEqual(before);
+    budget.spend("service", context);
+    expect(budget.state("service", context)).toEqual({ spent: 1, allowed: 28 });
   });
 
-  test("repeats count until all of their bucket have left the window", () => {
+  test("resends count until their whole bucket has left the window", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
-    const asked = { now: 0, hosts: 2 };
-    [0, 400].forEach((now) => budget.spend("service", { ...asked, now }));
+    const context = { now: 0, hosts: 2 };
+    [0, 400].forEach((now) => budget.spend("service", { ...context, now }));
     budget.requested("service", { now: 10_100, hosts: 2 });
     const spent = (now: number) =>
-      budget.state("service", { ...asked, now }).spent;
+      budget.state("service", { ...context, now }).spent;
     expect([10_100, 10_399, 10_500].map(spent)).toEqual([2, 2, 0]);
   });
 
-  test("changed terms count what was spent before them", () => {
+  test("resends spent before a change of terms still count", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
-    const asked = { now: 0, hosts: 2 };
-    budget.spend("service", asked);
+    const context = { now: 0, hosts: 2 };
+    budget.spend("service", context);
     budget.setTerms({ ...TERMS, windowMilliseconds: 20_000 });
     const spent = (now: number) =>
-      budget.state("service", { ...asked, now }).spent;
+      budget.state("service", { ...context, now }).spent;
     expect([19_999, 20_500].map(spent)).toEqual([1, 0]);
   });
 });
 
-function within(times: readonly number[], end: number): number {
+function countInWindow(times: readonly number[], end: number): number {
   return times.filter((at) => at > end - TERMS.windowMilliseconds && at <= end)
     .length;
 }
 
 function spendAll(
   budget: ResendBudget,
-  asked: Parameters<ResendBudget["spend"]>[1],
+  context: Parameters<ResendBudget["spend"]>[1],
 ): number {
-  const wanted = Array.from({ length: 100 });
-  return wanted.filter(() => budget.spend("service", asked)).length;
+  const attempts = Array.from({ length: 100 });
+  return attempts.filter(() => budget.spend("service", context)).length;
 }
--- a/packages/rampswitch-serving/src/admission/workspace_limits_test.ts
+++ b/packages/rampswitch-serving/src/admission/workspace_limits_test.ts
@@ -23,15 +23,15 @@
   windowMilliseconds: 8_000,
 };
 
-/** Time between messages of hosts, in milliseconds. */
-const NEWS_MILLISECONDS = 250;
+/** Time between updates of a host, in milliseconds. */
+const UPDATE_INTERVAL_MILLISECONDS = 250;
 
-/** What may be admitted in a window, with all that is tolerated. */
-const ALLOWED =
+/** Tokens that may be admitted in a window, with the tolerance. */
+const ALLOWED_TOKENS =
   (WORKSPACE.tokensPerSecond * 8 + WORKSPACE.burstTokens) * 1.1 +
   TOLERANCE.slackTokens;
 
-/** A request of the most urgent rank at a time. */
+/** The context of a request of the most urgent rank at a time. */
 function at(now: number): { readonly now: number; readonly priority: number } {
   return { now, priority: 0 };
 }
@@ -41,12 +41,12 @@
   readonly tokens: number;
 }
 
-/** Most tokens admitted in any window of eight seconds. */
-function worstWindow(admitted: readonly Admitted[]): number {
+/** Maximum of tokens admitted in any window of eight seconds. */
+function maximumWindowTokens(admitted: readonly Admitted[]): number {
   return admitted.reduce(
-    (worst, { at }) =>
+    (maximum, { at }) =>
       Math.max(
-        worst,
+        maximum,
         admitted
           .filter((other) => other.at >= at && other.at < at + 8_000)
           .reduce((sum, other) => sum + other.tokens, 0),
@@ -55,30 +55,32 @@
   );
 }
 
-/** Hosts that admit all they may while some of them are cut off. */
+/** Hosts that admit all that they may while some of them are cut off. */
 class Fleet {
   readonly admitted: Admitted[] = [];
   #now = 0;
   readonly #hosts: WorkspaceLimits[];
-  #lives: number[];
+  #incarnations: number[];
 
   constructor(count: number) {
     this.#hosts = Array.from({ length: count }, () => newHost(0));
-    this.#lives = this.#hosts.map(() => 0);
-    this.#hosts.forEach((_, host) => this.#list(host));
+    this.#incarnations = this.#hosts.map(() => 0);
+    this.#hosts.forEach((_, host) => this.#readHostList(host));
   }
 
-  /** One exchange: demand on each host, then news between joined hosts. */
+  /**
+   * One exchange: demand at each host, then updates between connected hosts.
+   */
   step(demandTokens: number, cut: (host: number) => boolean): void {
     this.#hosts.forEach((host) => this.#admitAll(host, demandTokens));
-    this.#now += NEWS_MILLISECONDS;
+    this.#now += UPDATE_INTERVAL_MILLISECONDS;
     this.#hosts.forEach((from, sender) =>
       this.#hosts.forEach((to, receiver) => {
         if (sender === receiver || cut(sender) || cut(receiver)) return;
         to.heard(
           String(sender),
           {
-            incarnation: String(this.#lives[sender]),
+            incarnation: String(this.#incarnations[sender]),
             totals: from.totals(),
             levels: from.levels(this.#now),
             stopping: false,
@@ -91,14 +93,14 @@
 
   restart(host: number): void {
     this.#hosts[host] = newHost(this.#now);
-    this.#lives = this.#lives.map((life, at) =>
-      at === host ? life + 1 : life,
+    this.#incarnations = this.#incarnations.map((incarnation, at) =>
+      at === host ? incarnation + 1 : incarnation,
     );
-    this.#list(host);
+    this.#readHostList(host);
   }
 
   /** A host reads the list of hosts in the store at its start. */
-  #list(host: number): void {
+  #readHostList(host: number): void {
     this.#hosts.forEach((_, other) => {
       if (other === host) return;
       this.#hosts[host]?.expected(String(other), this.#now);
@@ -127,34 +129,37 @@
 }
 
 /**
- * A large fleet: two relays that hear all hosts, members that hear one of the
- * relays in turn, and every message one round late.
+ * A large fleet: two relays receive the totals of all members, each member
+ * receives a report of one of the relays in turn, and every message is one
+ * round late.
  */
 class RelayedFleet {
   readonly admitted: Admitted[] = [];
   #members: readonly WorkspaceLimits[];
   #relays: readonly WorkspaceLimits[];
-  #life = 1;
+  #incarnation = 1;
   #round = 0;
   readonly #random = seededRandom(23);
 
   constructor(members: number) {
-    this.#members = this.#limits(members);
-    this.#relays = this.#limits(2);
+    this.#members = this.#startHosts(members);
+    this.#relays = this.#startHosts(2);
   }
 
   /** All hosts are killed and start again. */
   killAll(): void {
-    this.#life += 1;
-    this.#members = this.#limits(this.#members.length);
-    this.#relays = this.#limits(this.#relays.length);
+    this.#incarnation += 1;
+    this.#members = this.#startHosts(this.#members.length);
+    this.#relays = this.#startHosts(this.#relays.length);
   }
 
   get #now(): number {
     return this.#round * RELAYED_PACE.interval;
   }
 
-  /** Demand at some members, then one exchange; `silent` relays tell nothing. */
+  /**
+   * Demand at some members, then one exchange; `silent` relays send nothing.
+   */
   step(
     demandOf: (member: number) => number,
     silent: (relay: number) => boolean,
@@ -175,7 +180,9 @@
     });
     this.#round += 1;
     this.#relays.forEach((relay) =>
-      before.forEach((totals, index) => this.#hear(relay, index, totals)),
+      before.forEach((totals, index) =>
+        this.#receiveTotals(relay, index, totals),
+      ),
     );
     this.#members.forEach((member, index) => {
       const from = (this.#round + index) % this.#relays.length;
@@ -193,17 +200,17 @@
     });
   }
 
-  #hear(
+  #receiveTotals(
     relay: WorkspaceLimits,
     index: number,
     totals: Readonly<Record<string, number>>,
   ): void {
-    const incarnation = String(this.#life);
-    const told = { incarnation, totals, levels: {}, stopping: false };
-    relay.heard(String(index), told, this.#now);
+    const incarnation = String(this.#incarnation);
+    const update = { incarnation, totals, levels: {}, stopping: false };
+    relay.heard(String(index), update, this.#now);
   }
 
-  #limits(count: number): WorkspaceLimits[] {
+  #startHosts(count: number): WorkspaceLimits[] {
     return Array.from({ length: count }, () => {
       const limits = new WorkspaceLimits(TOLERANCE, RELAYED_PACE, {
         random: this.#random,
@@ -221,23 +228,28 @@
 const REQUEST_TOKENS = 1_500;
 
 describe("limits of workspaces over a fleet with relays", () => {
-  test("hold for any number of hosts that the callers meet", () => {
+  test("hold for any number of hosts that receive the requests", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 60 }),
         fc.integer({ min: 0, max: 20 }),
-        (asked, silentFrom) => {
+        (calledHosts, silentFrom) => {
           const fleet = new RelayedFleet(60);
           const demand =
             (4 * WORKSPACE.tokensPerSecond * RELAYED_PACE.interval) /
             1_000 /
-            asked;
+            calledHosts;
           for (let round = 0; round < 50; round += 1) {
             const relaySilent = (relay: number) =>
               relay === 0 && round >= silentFrom;
-            fleet.step((member) => (member < asked ? demand : 0), relaySilent);
+            fleet.step(
+              (member) => (member < calledHosts ? demand : 0),
+              relaySilent,
+            );
           }
-          expect(worstWindow(fleet.admitted)).toBeLessThanOrEqual(ALLOWED);
+          expect(maximumWindowTokens(fleet.admitted)).toBeLessThanOrEqual(
+            ALLOWED_TOKENS,
+          );
         },
       ),
       { numRuns: 40, seed: 3 },
@@ -250,28 +262,30 @@
         fc.integer({ min: 6, max: 24 }),
         fc.integer({ min: 1, max: 18 }),
         fc.integer({ min: 4, max: 60 }),
-        (first, distance, asked) => {
+        (first, distance, calledHosts) => {
           const fleet = new RelayedFleet(60);
-          // Eight times the usual, which is the limit over 1.8.
+          // Eight times the usual demand, which is the limit divided by 1.8.
           const demand =
             ((8 / 1.8) * WORKSPACE.tokensPerSecond * RELAYED_PACE.interval) /
             1_000 /
-            asked;
+            calledHosts;
           for (let round = 0; round < 50; round += 1) {
             if (round === first || round === first + distance) fleet.killAll();
             fleet.step(
-              (member) => (member < asked ? demand : 0),
+              (member) => (member < calledHosts ? demand : 0),
               () => false,
             );
           }
-          expect(worstWindow(fleet.admitted)).toBeLessThanOrEqual(ALLOWED);
+          expect(maximumWindowTokens(fleet.admitted)).toBeLessThanOrEqual(
+            ALLOWED_TOKENS,
+          );
         },
       ),
       { numRuns: 60, seed: 17 },
     );
   });
 
-  test("spend an even part before the list of hosts is read", () => {
+  test("admit at most an even part before the list of hosts is read", () => {
     const admitted = Array.from({ length: 8 }, () => {
       const limits = new WorkspaceLimits(TOLERANCE, DIRECT_PACE, {
         random: seededRandom(1),
@@ -285,11 +299,11 @@
     expect(Math.max(...admitted)).toBeLessThanOrEqual(1);
   });
 
-  test("serve a workspace in full whose callers meet two hosts", () => {
+  test("admit demand within the limit in full at only two hosts", () => {
     const fleet = new RelayedFleet(60);
     const demand =
       (0.55 * WORKSPACE.tokensPerSecond * RELAYED_PACE.interval) / 1_000 / 2;
-    // Hosts start some seconds before their first callers.
+    // Hosts start some seconds before their first requests.
     for (let round = 0; round < 10; round += 1) {
       fleet.step(
         () => 0,
@@ -302,9 +316,10 @@
         () => false,
       );
     }
-    const asked = Math.floor(demand / REQUEST_TOKENS) * REQUEST_TOKENS * 2 * 50;
+    const requestedTokens =
+      Math.floor(demand / REQUEST_TOKENS) * REQUEST_TOKENS * 2 * 50;
     const total = fleet.admitted.reduce((sum, { tokens }) => sum + tokens, 0);
-    expect(total).toBe(asked);
+    expect(total).toBe(requestedTokens);
   });
 });
 
@@ -319,11 +334,13 @@
           const fleet = new Fleet(8);
           for (let step = 0; step < 64; step += 1) {
             if (restarts.includes(step)) fleet.restart(step % 8);
-            // Eight times the limit, evenly over the hosts.
+            // Eight times the limit, spread evenly over the hosts.
             const demand = (8 * WORKSPACE.tokensPerSecond) / 4 / 8;
             fleet.step(demand, (host) => host < cutHosts && step >= cutFrom);
           }
-          expect(worstWindow(fleet.admitted)).toBeLessThanOrEqual(ALLOWED);
+          expect(maximumWindowTokens(fleet.admitted)).toBeLessThanOrEqual(
+            ALLOWED_TOKENS,
+          );
         },
       ),
       { numRuns: 40, seed: 7 },
@@ -344,27 +361,29 @@
             const demand = (8 * WORKSPACE.tokensPerSecond) / 4 / 8;
             fleet.step(demand, () => false);
           }
-          expect(worstWindow(fleet.admitted)).toBeLessThanOrEqual(ALLOWED);
+          expect(maximumWindowTokens(fleet.admitted)).toBeLessThanOrEqual(
+            ALLOWED_TOKENS,
+          );
         },
       ),
       { numRuns: 60, seed: 11 },
     );
   });
 
-  test("serve a workspace in full that stays within its limit", () => {
+  test("admit demand within the limit in full at all hosts", () => {
     const fleet = new Fleet(8);
     const demand = (0.8 * WORKSPACE.tokensPerSecond) / 4 / 8;
-    // One host takes what all would, as a balancer may do for a while.
+    // The demand is spread evenly over the hosts.
     for (let step = 0; step < 80; step += 1) fleet.step(demand, () => false);
     const total = fleet.admitted.reduce((sum, { tokens }) => sum + tokens, 0);
-    const asked = Math.floor(demand / 1_500) * 1_500 * 8 * 80;
-    expect(total).toBe(asked);
+    const requestedTokens = Math.floor(demand / 1_500) * 1_500 * 8 * 80;
+    expect(total).toBe(requestedTokens);
   });
 
-  test("admit a group of requests at one host within the limit", () => {
+  test("admit a group of requests within the limit at one host", () => {
     const host = newHost(0);
     Array.from({ length: 7 }, (_, peer) => host.expected(String(peer), 0));
-    // A bucket is not full before it had time to fill since the start.
+    // A bucket starts below its full level and needs time to fill.
     [100, 2_000].forEach((at) =>
       Array.from({ length: 7 }, (_, peer) =>
         host.heard(
@@ -382,7 +401,7 @@
     );
   });
 
-  test("tell a request over the limit when to come back", () => {
+  test("refuse a request over the limit with a time to retry after", () => {
     const limits = newHost(0);
     const decisions = Array.from({ length: 200 }, () =>
       limits.admit(WORKSPACE.name, 1_000, at(0)),
@@ -396,16 +415,16 @@
     );
   });
 
-  test("keep the last of a limit for what is more urgent", () => {
+  test("reserve the last part of a limit for more urgent requests", () => {
     const limits = new WorkspaceLimits(TOLERANCE, DIRECT_PACE, {
       random: seededRandom(1),
     });
     limits.configure([{ ...WORKSPACE, tokensPerSecond: 1 }], 0);
     limits.hostsListed();
-    // Long after the start, when the bucket is full.
+    // Long after the start, so that the bucket is full.
     let now = 200_000_000;
     const admits = (priority: number) => {
-      // Past the pace of what one host may admit at once.
+      // After the lag, so that earlier admissions no longer count as recent.
       now += DIRECT_PACE.lag;
       const decision = limits.admit(WORKSPACE.name, 1_000, { now, priority });
       return decision.kind === "admitted";
@@ -415,13 +434,13 @@
       while (admits(priority)) count += 1;
       return count;
     };
-    const [least, middle, most] = [2, 1, 0].map(admittedOf);
+    const [leastUrgent, middle, mostUrgent] = [2, 1, 0].map(admittedOf);
     // 0.15 of the burst of 40,000 tokens for each rank.
-    expect([middle, most]).toEqual([6, 6]);
-    expect(least).toBeGreaterThan(6);
+    expect([middle, mostUrgent]).toEqual([6, 6]);
+    expect(leastUrgent).toBeGreaterThan(6);
   });
 
-  test("a small request need not leave much to more urgent ones", () => {
+  test("a small request leaves only a small reserve for urgent ones", () => {
     const limits = newHost(0);
     limits.configure([{ ...WORKSPACE, tokensPerSecond: 1 }], 0);
     let now = 200_000_000;
@@ -440,7 +459,7 @@
     expect(small.at(-1)).toBe(false);
   });
 
-  test("a request that fills the bucket passes, whatever its rank", () => {
+  test("a request larger than a full bucket is admitted at any rank", () => {
     const limits = newHost(0);
     const full = 60_000;
     limits.configure([WORKSPACE], full);
@@ -451,10 +470,10 @@
     expect(decision.kind).toBe("admitted");
   });
 
-  test("what surely did not run is given back", () => {
+  test("the tokens of a request that did not run are refunded", () => {
     const limits = newHost(0);
     expect(limits.admit(WORKSPACE.name, 9_000, at(0)).kind).toBe("admitted");
-    limits.giveBack(WORKSPACE.name, 9_000);
+    limits.refund(WORKSPACE.name, 9_000);
     expect(limits.totals()).toEqual({ large: 0 });
   });
 });
