--- a/packages/rampswitch-serving/src/admission/resend_budget_fleet_test.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget_fleet_test.ts
@@ -297,8 +297,8 @@
   }
 
   /** Draws the number of events in one step from their rate. */
-  #drawCount(ratePerSecond: number): number {
-    const mean = (ratePerSecond * STEP_MILLISECONDS) / 1_000;
+  #drawCount(perSecond: number): number {
+    const mean = (perSecond * STEP_MILLISECONDS) / 1_000;
     return Math.floor(mean + this.#random.next());
   }
 
