--- a/packages/rampswitch-serving/src/choice/choose_server.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server.ts
@@ -9,8 +9,8 @@
 import { hash32 } from "rampswitch-utils";
 import type { EngineLimits } from "../model/configuration.ts";
 import type { PromptPart } from "../model/request.ts";
-import { copiedParts, type Keeper, keeperOf } from "./copied_parts.ts";
-import type { PrefixKnowledge } from "./prefix_knowledge.ts";
+import { copiedParts, type Keeper, keeperOf } from "./prefix_copy.ts";
+import type { PrefixKnowledge } from "./prefix_cache_estimate.ts";
 import type { ServerRecord } from "./server_record.ts";
 
 /** What a choice depends on beside the servers themselves. */
--- a/packages/rampswitch-serving/src/choice/choose_server_test.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, test } from "@jest/globals";
 import { seededRandom } from "rampswitch-utils";
 import { type ChoiceInputs, chooseServer } from "./choose_server.ts";
-import { PrefixKnowledge } from "./prefix_knowledge.ts";
+import { PrefixKnowledge } from "./prefix_cache_estimate.ts";
 import { ServerRecord } from "./server_record.ts";
 
 const PARTS = [
--- a/packages/rampswitch-serving/src/choice/leaving_lives_test.ts
+++ b/packages/rampswitch-serving/src/choice/leaving_incarnations_test.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 import { describe, expect, test } from "@jest/globals";
-import { LeavingLives } from "./leaving_lives.ts";
+import { LeavingLives } from "./leaving_incarnations.ts";
 
 const LIFE = { id: "s1", born: 1_000 };
 const TO_ALL = { ownOnly: false, isWantedLonger: () => false };
--- a/packages/rampswitch-serving/src/choice/mod.ts
+++ b/packages/rampswitch-serving/src/choice/mod.ts
@@ -5,10 +5,10 @@
  *
  * @module
  */
-export * from "./asked_rest.ts";
+export * from "./server_back_off.ts";
 export * from "./choose_server.ts";
-export * from "./leaving_lives.ts";
-export * from "./place_admission.ts";
-export * from "./prefix_knowledge.ts";
+export * from "./leaving_incarnations.ts";
+export * from "./slot_admission.ts";
+export * from "./prefix_cache_estimate.ts";
 export * from "./server_directory.ts";
 export * from "./server_record.ts";
--- a/packages/rampswitch-serving/src/choice/copied_parts.ts
+++ b/packages/rampswitch-serving/src/choice/prefix_copy.ts
@@ -8,7 +8,7 @@
  */
 import type { EngineLimits } from "../model/configuration.ts";
 import type { PromptPart } from "../model/request.ts";
-import type { PrefixKnowledge } from "./prefix_knowledge.ts";
+import type { PrefixKnowledge } from "./prefix_cache_estimate.ts";
 import type { ServerRecord } from "./server_record.ts";
 
 /** Time to begin a copy of kept parts, in milliseconds; engines take 3 to 6. */
--- a/packages/rampswitch-serving/src/choice/asked_rest_test.ts
+++ b/packages/rampswitch-serving/src/choice/server_back_off_test.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 import { describe, expect, test } from "@jest/globals";
-import { AskedRest } from "./asked_rest.ts";
+import { AskedRest } from "./server_back_off.ts";
 
 const SLOTS = 8;
 
--- a/packages/rampswitch-serving/src/choice/server_directory.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory.ts
@@ -16,7 +16,7 @@
   LeavingLives,
   type LeavingNews,
   type LeavingOrigin,
-} from "./leaving_lives.ts";
+} from "./leaving_incarnations.ts";
 import {
   ServerRecord,
   type ToldWork,
--- a/packages/rampswitch-serving/src/choice/server_record.ts
+++ b/packages/rampswitch-serving/src/choice/server_record.ts
@@ -9,7 +9,7 @@
  */
 import { type BackendServer, nameOfLife } from "../model/backend_server.ts";
 import type { ReportedLoad } from "../model/request.ts";
-import { AskedRest } from "./asked_rest.ts";
+import { AskedRest } from "./server_back_off.ts";
 
 /** Work of one host at one backend server. */
 export interface WorkAtServer {
--- a/packages/rampswitch-serving/src/choice/place_admission_test.ts
+++ b/packages/rampswitch-serving/src/choice/slot_admission_test.ts
@@ -7,7 +7,7 @@
   type PlaceDemand,
   placeTotals,
   shareWithPlaces,
-} from "./place_admission.ts";
+} from "./slot_admission.ts";
 
 const DEMAND: PlaceDemand = {
   arrivalsPerMillisecond: 0.26,
--- a/packages/rampswitch-serving/src/statements/told_report.ts
+++ b/packages/rampswitch-serving/src/statements/engine_report.ts
@@ -7,7 +7,7 @@
  */
 import type { ServerRecord } from "../choice/mod.ts";
 import type { EngineControl, EngineReport } from "../model/engine_control.ts";
-import type { StatementReader } from "./server_statements.ts";
+import type { StatementReader } from "./server_advertisements.ts";
 
 /**
  * The report of whoever answers at a server's address, if anybody does; what it says
--- a/packages/rampswitch-serving/src/statements/mod.ts
+++ b/packages/rampswitch-serving/src/statements/mod.ts
@@ -1,6 +1,6 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-export * from "./server_statements.ts";
-export * from "./leaving_statements.ts";
-export * from "./told_report.ts";
-export * from "./rest_statements.ts";
+export * from "./server_advertisements.ts";
+export * from "./leaving_advertisements.ts";
+export * from "./engine_report.ts";
+export * from "./back_off_advertisements.ts";
--- a/packages/rampswitch-serving/src/statements/server_statements_test.ts
+++ b/packages/rampswitch-serving/src/statements/server_advertisements_test.ts
@@ -5,7 +5,7 @@
 import { ServerRecord } from "../choice/mod.ts";
 import type { ServerStatements } from "../model/request.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { StatementReader } from "./server_statements.ts";
+import { StatementReader } from "./server_advertisements.ts";
 import { SAYS_NOTHING } from "./statements_standin.ts";
 
 const RECORD = new ServerRecord({
--- a/packages/rampswitch-serving/src/statements/statements_standin.ts
+++ b/packages/rampswitch-serving/src/statements/statements_standin.ts
@@ -8,7 +8,7 @@
 import { SILENT_LOGGER } from "rampswitch-utils";
 import type { ServerStatements } from "../model/request.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { StatementReader } from "./server_statements.ts";
+import { StatementReader } from "./server_advertisements.ts";
 
 /** An answer that says nothing of its server. */
 export const SAYS_NOTHING: ServerStatements = {
