--- a/packages/rampswitch-serving/src/choice/choose_server.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server.ts
@@ -1,53 +1,59 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Choice of a backend server for one send: least predicted time to the first
- * part of the answer, with prices for other data halls and for failures. Pure.
+ * Choice of a backend server for one send: the one with the shortest predicted time
+ * to the first part of the answer, with penalties for other data halls and for
+ * failures. Pure.
  *
  * @module
  */
 import { hash32 } from "rampswitch-utils";
 import type { EngineLimits } from "../model/configuration.ts";
 import type { PromptPart } from "../model/request.ts";
-import { copiedParts, type Keeper, keeperOf } from "./prefix_copy.ts";
+import { planCopy, type CopySource, findCopySource } from "./prefix_copy.ts";
 import type { PrefixKnowledge } from "./prefix_cache_estimate.ts";
 import type { ServerRecord } from "./server_record.ts";
 
-/** What a choice depends on beside the servers themselves. */
+/** Inputs of a choice beside the servers. */
 export interface ChoiceInputs {
+  /** Milliseconds on the monotonic clock. */
   readonly now: number;
+  /** Data hall of this host. */
   readonly dataHall: string;
+  /** Limits of the service's engines; `undefined` for a plain service. */
   readonly engine: EngineLimits | undefined;
   readonly parts: readonly PromptPart[];
   readonly promptTokens: number;
-  /** Tokens that an engine reads in a millisecond. */
+  /** Prefill rate of an engine, in tokens per millisecond. */
   readonly readingRate: number;
-  /** Lives of servers not to choose, such as those already tried. */
+  /** Incarnations of servers that must not be chosen, such as those already tried. */
   readonly excluded: ReadonlySet<string>;
-  /** Requests that this host may have at one server at once. */
+  /** Maximum requests of this host at one server at once. */
   readonly ownConnections: number;
   /**
-   * Whether this host hears which prompts all others sent where. In a large
-   * fleet it does not, and trusts that they use the same homes.
+   * Whether this host receives the dispatches of all other hosts, which report the
+   * server that each prompt was sent to. In a large fleet it does not, and assumes
+   * that the other hosts use the same home servers.
    */
   readonly hearsDispatches: boolean;
   /**
-   * Time after the announcement of a server's end in which it takes requests
-   * that no other server can take, in milliseconds.
+   * Time after a server announces its end in which it still gets requests that no
+   * other server can take, in milliseconds.
    */
   readonly leavingMilliseconds: number;
-  /** Draws a number in [0, 1). */
+  /** Returns a random number in [0, 1). */
   draw(): number;
 }
 
-/** A server and the figures that chose it. */
+/** The chosen server and the figures behind the choice. */
 export interface Choice {
   readonly record: ServerRecord;
   readonly predictedMilliseconds: number;
-  /** Tokens that the server keeps or copies, and need not read. */
+  /** Prompt tokens that the server has cached or copies, and so need no prefill. */
   readonly keptTokens: number;
-  /** Another engine that keeps more of the prompt, to copy that from. */
+  /** Another engine with more of the prompt cached, to copy from. */
   readonly copyFrom: ServerRecord | undefined;
+  /** Requests that run and wait at the server, from all hosts. */
   readonly load: number;
 }
 
@@ -56,49 +62,52 @@
   | { readonly kind: "chosen"; readonly choice: Choice }
   /** No server of the service takes work. */
   | { readonly kind: "none" }
-  /** Servers take work, but their places and queues are full. */
+  /** Servers take work, but their slots and queues are full. */
   | { readonly kind: "full" }
-  /** All servers that take work rest. */
+  /** This host backs off from all servers that take work. */
   | { readonly kind: "resting" };
 
-/** Price of sending to another data hall, as milliseconds of waiting. */
-const OTHER_DATA_HALL_MILLISECONDS = 6;
+/** Penalty for a server in another data hall, in milliseconds of predicted time. */
+const OTHER_DATA_HALL_PENALTY_MILLISECONDS = 6;
 
-/** Price of a server that fails all requests, as milliseconds of waiting. */
-const FAILURE_MILLISECONDS = 600;
+/** Penalty for a server that fails all requests, in milliseconds of predicted time. */
+const FAILURE_PENALTY_MILLISECONDS = 600;
 
-/** Time that one more running request adds, in milliseconds. */
-const RUNNING_MILLISECONDS = 1.5;
+/** Time that each running request adds, in milliseconds. */
+const RUNNING_REQUEST_MILLISECONDS = 1.5;
 
-/** Wait for a place of an engine, per request above its slots. */
-const ENGINE_WAIT_MILLISECONDS = 60;
+/** Wait for a slot of an engine per request above its slots, in milliseconds. */
+const ENGINE_QUEUED_REQUEST_MILLISECONDS = 60;
 
-/** Work of one request of a plain service, in milliseconds. */
-const PLAIN_WORK_MILLISECONDS = 20;
+/** Time that one request of a plain service takes, in milliseconds. */
+const PLAIN_REQUEST_MILLISECONDS = 20;
 
-/** Requests that may wait at a server, as a share of its slots. */
-const WAITING_SHARE = 0.75;
+/** Maximum requests that wait at a server, as a share of its slots. */
+const MAXIMUM_QUEUE_SHARE = 0.75;
 
 /**
- * Preference for the servers that keep a prompt's shared parts, as milliseconds of
- * waiting. Loads are known late, kept parts are not; and each prompt that is read
- * elsewhere delays all that run beside it.
+ * Bonus for the servers that have a prompt's shared parts cached, in milliseconds of
+ * predicted time. Loads are known with a delay and cached parts are not. The prefill
+ * of a prompt on another server also delays all requests that run there.
  */
 const PREFERENCE_MILLISECONDS = 200;
 
 /**
- * Share of a prompt's shared parts that its home is expected to keep, where the
- * prompts of others are not heard of.
+ * Share of a prompt's shared parts that its home server is assumed to have cached if
+ * this host does not receive the dispatches of other hosts.
  */
-const HOME_KEPT_SHARE = 0.6;
+const HOME_CACHED_SHARE = 0.6;
 
 /**
- * Servers that are compared beside the home where loads are known late. Two
- * choices are the least that spread load; one more keeps the tail short.
+ * Random servers that are compared beside the home server if loads are known with a
+ * delay. Two are the minimum that spreads load; the third keeps the tail short.
  */
-const DRAWN_SERVERS = 3;
+const SAMPLED_SERVERS = 3;
 
-/** Chooses among the servers of a service. */
+/**
+ * Chooses among the servers of a service. Servers that leave soon are considered only
+ * if no ready server can be chosen.
+ */
 export function chooseServer(
   records: readonly ServerRecord[],
   prefixes: PrefixKnowledge,
@@ -106,20 +115,31 @@
 ): ChoiceOutcome {
   const untried = records.filter((record) => !inputs.excluded.has(record.life));
   const ready = untried.filter((record) => record.isReady);
-  const keeper = keeperOf(records, prefixes, inputs);
-  const outcome = chooseAmong(ready, prefixes, { ...inputs, keeper });
+  const copySource = findCopySource(records, prefixes, inputs);
+  const outcome = chooseAmong(ready, prefixes, {
+    ...inputs,
+    copySource,
+  });
   if (outcome.kind === "chosen") return outcome;
-  const leaving = untried.filter((record) => takesLast(record, inputs));
-  const last = chooseAmong(leaving, prefixes, { ...inputs, keeper });
-  return last.kind === "chosen" ? last : outcome;
+  const leaving = untried.filter((record) =>
+    acceptsLastRequest(record, inputs),
+  );
+  const fallback = chooseAmong(leaving, prefixes, {
+    ...inputs,
+    copySource,
+  });
+  return fallback.kind === "chosen" ? fallback : outcome;
 }
 
 /**
- * Whether a leaving server takes a last request: its end was announced just now,
- * and what it runs can end or be moved in time. Where all data halls are
- * reclaimed within seconds, others start only as the last of these end.
+ * Whether a leaving server accepts one more request: its end was announced so recently
+ * that the run can complete or migrate in time. If all data halls are reclaimed within
+ * seconds, new servers start only when the last old ones end.
  */
-function takesLast(record: ServerRecord, inputs: ChoiceInputs): boolean {
+function acceptsLastRequest(
+  record: ServerRecord,
+  inputs: ChoiceInputs,
+): boolean {
   const { leavingSince } = record;
   return (
     !record.isReady &&
@@ -131,30 +151,35 @@
 function chooseAmong(
   ready: readonly ServerRecord[],
   prefixes: PrefixKnowledge,
-  inputs: ChoiceInputs & { readonly keeper: Keeper | undefined },
+  inputs: ChoiceInputs & { readonly copySource: CopySource | undefined },
 ): ChoiceOutcome {
   if (ready.length === 0) return { kind: "none" };
-  const awake = ready.filter(({ rest }) => !rest.holds(inputs.now));
-  if (awake.length === 0) return { kind: "resting" };
-  const healthy = awake.filter((record) => !record.isEjected(inputs.now));
-  // Where all failed lately, trying one is better than refusing.
-  const working = healthy.length > 0 ? healthy : awake;
-  const open = working.filter((record) => hasRoom(record, inputs));
-  if (open.length === 0) return { kind: "full" };
-  const common = { ...inputs, preferred: preferredOf(open, prefixes, inputs) };
-  const choices = candidates(open, common).map((record) =>
-    predict(record, prefixes, common),
+  const available = ready.filter(({ rest }) => !rest.holds(inputs.now));
+  if (available.length === 0) return { kind: "resting" };
+  const healthy = available.filter((record) => !record.isEjected(inputs.now));
+  // If all servers failed recently, trying one is better than a refusal.
+  const usable = healthy.length > 0 ? healthy : available;
+  const withCapacity = usable.filter((record) => hasCapacity(record, inputs));
+  if (withCapacity.length === 0) return { kind: "full" };
+  const withPreferred = {
+    ...inputs,
+    preferred: preferredServers(withCapacity, prefixes, inputs),
+  };
+  const choices = candidates(withCapacity, withPreferred).map((record) =>
+    predict(record, prefixes, withPreferred),
   );
-  return { kind: "chosen", choice: leastOf(choices, inputs) };
+  return { kind: "chosen", choice: fastestOf(choices, inputs) };
 }
 
-/** The choice with the least time; of equal ones, any. */
-function leastOf(
+/** Returns the choice with the shortest predicted time; ties are broken at random. */
+function fastestOf(
   choices: readonly Choice[],
   inputs: Pick<ChoiceInputs, "draw">,
 ): Choice {
-  const best = choices.reduce((least, choice) =>
-    choice.predictedMilliseconds < least.predictedMilliseconds ? choice : least,
+  const best = choices.reduce((fastest, choice) =>
+    choice.predictedMilliseconds < fastest.predictedMilliseconds
+      ? choice
+      : fastest,
   );
   const equal = choices.filter(
     ({ predictedMilliseconds }) =>
@@ -165,152 +190,166 @@
 }
 
 /**
- * The servers to compare: all in a small fleet. In a large one the loads that
- * hosts know are as old as a request takes, so that all would choose the one
- * server that was idle a second ago; there, the home and a few drawn ones.
+ * Returns the servers to compare: all of them in a small fleet, the home server and a
+ * random sample in a large one. In a large fleet the known loads are as old as a
+ * request takes, so all hosts would choose the one server that was idle a second ago.
  */
 function candidates(
-  open: readonly ServerRecord[],
+  withCapacity: readonly ServerRecord[],
   inputs: ChoiceInputs & Preferred,
 ): readonly ServerRecord[] {
-  if (inputs.hearsDispatches || open.length <= DRAWN_SERVERS) return open;
-  const preferred = open.filter(({ entry }) => inputs.preferred.has(entry.id));
-  return [...new Set([...preferred, ...drawn(open, DRAWN_SERVERS, inputs)])];
+  if (inputs.hearsDispatches || withCapacity.length <= SAMPLED_SERVERS)
+    return withCapacity;
+  const preferred = withCapacity.filter(({ entry }) =>
+    inputs.preferred.has(entry.id),
+  );
+  return [
+    ...new Set([
+      ...preferred,
+      ...sampleServers(withCapacity, SAMPLED_SERVERS, inputs),
+    ]),
+  ];
 }
 
-/** Some different servers at random. */
-function drawn(
-  open: readonly ServerRecord[],
+/** Returns up to `count` different servers at random. */
+function sampleServers(
+  pool: readonly ServerRecord[],
   count: number,
   inputs: ChoiceInputs,
 ): readonly ServerRecord[] {
   return Array.from({ length: count }).reduce<readonly ServerRecord[]>(
-    (chosen) => {
-      const left = open.filter((record) => !chosen.includes(record));
-      const next = left[Math.floor(inputs.draw() * left.length)];
-      return next === undefined ? chosen : [...chosen, next];
+    (sampled) => {
+      const remaining = pool.filter((record) => !sampled.includes(record));
+      const next = remaining[Math.floor(inputs.draw() * remaining.length)];
+      return next === undefined ? sampled : [...sampled, next];
     },
     [],
   );
 }
 
-function hasRoom(record: ServerRecord, inputs: ChoiceInputs): boolean {
-  const places = record.entry.slots * (1 + WAITING_SHARE);
+/** Whether the server can take one more request of this host, queued or running. */
+function hasCapacity(record: ServerRecord, inputs: ChoiceInputs): boolean {
+  const maximumLoad = record.entry.slots * (1 + MAXIMUM_QUEUE_SHARE);
   return (
     record.rest.takes(inputs.now) &&
-    record.load(inputs.now) < places &&
+    record.load(inputs.now) < maximumLoad &&
     record.ownRunning < inputs.ownConnections
   );
 }
 
+/** Predicts the time to the first part of the answer, with penalties and bonuses. */
 function predict(
   record: ServerRecord,
   prefixes: PrefixKnowledge,
   inputs: ChoiceInputs &
     Preferred & {
-      readonly keeper: Keeper | undefined;
+      readonly copySource: CopySource | undefined;
     },
 ): Choice {
   const load = record.load(inputs.now);
   const isPreferred = inputs.preferred.has(record.entry.id);
-  const keptTokens = Math.max(
-    prefixes.keptTokens(record.entry.id, inputs.parts),
+  const cachedTokens = Math.max(
+    prefixes.cachedTokens(record.entry.id, inputs.parts),
     isPreferred && !inputs.hearsDispatches
-      ? HOME_KEPT_SHARE * sharedTokens(inputs.parts)
+      ? HOME_CACHED_SHARE * sharedTokens(inputs.parts)
       : 0,
   );
-  const copied = copiedParts(record, keptTokens, inputs);
+  const copy = planCopy(record, cachedTokens, inputs);
   const distance =
     record.entry.dataHall === inputs.dataHall
       ? 0
-      : OTHER_DATA_HALL_MILLISECONDS;
-  const failures = record.failureShare * FAILURE_MILLISECONDS;
+      : OTHER_DATA_HALL_PENALTY_MILLISECONDS;
+  const failures = record.failureShare * FAILURE_PENALTY_MILLISECONDS;
   const work =
     inputs.engine === undefined
       ? plainMilliseconds(load, record.entry.slots)
       : engineMilliseconds(record, {
           ...inputs,
           load,
-          keptTokens,
+          cachedTokens,
         });
   const preference = isPreferred ? PREFERENCE_MILLISECONDS : 0;
   return {
     record,
-    keptTokens: keptTokens + copied.tokens,
-    copyFrom: copied.from,
+    keptTokens: cachedTokens + copy.tokens,
+    copyFrom: copy.from,
     load,
     predictedMilliseconds: work + distance + failures - preference,
   };
 }
 
+/** Predicted time on a server of a plain service, in milliseconds. */
 function plainMilliseconds(load: number, slots: number): number {
   const waiting = Math.max(0, load + 1 - slots);
   return (
-    (load / slots) * PLAIN_WORK_MILLISECONDS * 0.5 +
-    (waiting / slots) * PLAIN_WORK_MILLISECONDS * 2
+    (load / slots) * PLAIN_REQUEST_MILLISECONDS * 0.5 +
+    (waiting / slots) * PLAIN_REQUEST_MILLISECONDS * 2
   );
 }
 
+/** Predicted time on an engine to the first part of the answer, in milliseconds. */
 function engineMilliseconds(
   record: ServerRecord,
   inputs: ChoiceInputs & {
     readonly load: number;
-    readonly keptTokens: number;
+    readonly cachedTokens: number;
   },
 ): number {
-  const unread = record.unreadTokens(inputs.now);
-  const own = Math.max(0, inputs.promptTokens - inputs.keptTokens);
+  const queuedTokens = record.unreadTokens(inputs.now);
+  const ownTokens = Math.max(0, inputs.promptTokens - inputs.cachedTokens);
   const waiting = Math.max(0, inputs.load + 1 - record.entry.slots);
   return (
-    (unread + own) / inputs.readingRate +
-    inputs.load * RUNNING_MILLISECONDS +
-    waiting * ENGINE_WAIT_MILLISECONDS
+    (queuedTokens + ownTokens) / inputs.readingRate +
+    inputs.load * RUNNING_REQUEST_MILLISECONDS +
+    waiting * ENGINE_QUEUED_REQUEST_MILLISECONDS
   );
 }
 
-/** Servers that are preferred for what they keep. */
+/** Ids of the servers that are preferred for their cached parts. */
 interface Preferred {
   readonly preferred: ReadonlySet<string>;
 }
 
 /**
- * The servers that keep most of a prompt's shared parts, where this host hears
- * of all prompts and any does; the home of the prompt otherwise.
+ * Returns the ids of the servers with most of a prompt's shared parts cached. Falls
+ * back to the prompt's home server if none has any, or if this host does not receive
+ * the dispatches of all others.
  */
-function preferredOf(
+function preferredServers(
   records: readonly ServerRecord[],
   prefixes: PrefixKnowledge,
   inputs: ChoiceInputs,
 ): ReadonlySet<string> {
-  const keepers = inputs.hearsDispatches
-    ? keepersOf(records, prefixes, inputs.parts.slice(0, -1))
+  const cachingServers = inputs.hearsDispatches
+    ? serversWithMostCached(records, prefixes, inputs.parts.slice(0, -1))
     : [];
-  // Only without keepers: the home takes a hash of each server.
-  if (keepers.length > 0) return new Set(keepers);
-  const home = homeOf(records, inputs.parts);
+  // Computed only if needed: finding the home server hashes the id of each server.
+  if (cachingServers.length > 0) return new Set(cachingServers);
+  const home = homeServer(records, inputs.parts);
   return new Set(home === undefined ? [] : [home]);
 }
 
-function keepersOf(
+function serversWithMostCached(
   records: readonly ServerRecord[],
   prefixes: PrefixKnowledge,
   shared: readonly PromptPart[],
 ): readonly string[] {
-  const kept = records.map(({ entry: { id } }) => ({
+  const cached = records.map(({ entry: { id } }) => ({
     id,
-    tokens: prefixes.keptTokens(id, shared),
+    tokens: prefixes.cachedTokens(id, shared),
   }));
-  const most = Math.max(0, ...kept.map(({ tokens }) => tokens));
-  return most === 0
+  const maximum = Math.max(0, ...cached.map(({ tokens }) => tokens));
+  return maximum === 0
     ? []
-    : kept.filter(({ tokens }) => tokens === most).map(({ id }) => id);
+    : cached.filter(({ tokens }) => tokens === maximum).map(({ id }) => id);
 }
 
 /**
- * The server that all hosts prefer for a prompt that no server is known to
- * keep: the highest hash with the longest part that requests share.
+ * Returns the id of the server that all hosts prefer for a prompt that no server is
+ * known to have cached. Rendezvous hashing on the longest part that requests share
+ * lets hosts agree without messages.
  */
-function homeOf(
+function homeServer(
   records: readonly ServerRecord[],
   parts: readonly PromptPart[],
 ): string | undefined {
@@ -324,7 +363,7 @@
     .reduce((best, next) => (next.score > best.score ? next : best)).id;
 }
 
-/** Tokens of the parts that other prompts may share: all but the last. */
+/** Counts the tokens of the parts that other prompts may share: all but the last. */
 function sharedTokens(parts: readonly PromptPart[]): number {
   return parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
--- a/packages/rampswitch-serving/src/choice/choose_server_test.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server_test.ts
@@ -55,16 +55,16 @@
 }
 
 describe("choice of a server", () => {
-  test("prefers the one that keeps the prompt's parts", () => {
+  test("prefers the server with the prompt's parts cached", () => {
     const records = ["s1", "s2", "s3"].map((id) => server(id));
-    records.forEach((keeper) => {
+    records.forEach((cachingServer) => {
       const prefixes = new PrefixKnowledge();
-      prefixes.stored(keeper.entry.id, PARTS.slice(0, 2), 500_000);
-      expect(chosen(records, { prefixes })).toBe(keeper.entry.id);
+      prefixes.stored(cachingServer.entry.id, PARTS.slice(0, 2), 500_000);
+      expect(chosen(records, { prefixes })).toBe(cachingServer.entry.id);
     });
   });
 
-  test("leaves it when its queue costs more than reading again", () => {
+  test("takes another server if the queue costs more than a new prefill", () => {
     const records = ["s1", "s2"].map((id) => server(id));
     const prefixes = new PrefixKnowledge();
     prefixes.stored("s1", PARTS.slice(0, 2), 500_000);
@@ -73,8 +73,8 @@
   });
 
   test("takes any of the servers that are equal", () => {
-    // Where answers came at once, a few hosts sent everything to one of eight equal
-    // servers, and that one was in need.
+    // With fast answers, a few hosts sent all requests to one of eight equal servers
+    // and overloaded it.
     const records = ["s1", "s2", "s3", "s4"].map((id) => server(id));
     const random = seededRandom(7);
     const inputs = { parts: [], draw: () => random.next() };
@@ -84,13 +84,13 @@
     );
   });
 
-  test("hosts agree without a word where nothing is known", () => {
+  test("hosts agree without messages if nothing is known", () => {
     const records = ["s1", "s2", "s3", "s4"].map((id) => server(id));
     const first = chosen(records);
     expect(chosen(records.toReversed())).toBe(first);
   });
 
-  test("hosts that do not hear of each other's prompts meet at one", () => {
+  test("hosts that do not receive each other's dispatches use one home server", () => {
     const records = ["s1", "s2", "s3", "s4"].map((id) => server(id));
     const parts = [{ id: "system", tokens: 1_000 }, ...PARTS.slice(1)];
     const home = chosen(records, { inputs: { parts } });
@@ -105,7 +105,7 @@
     );
   });
 
-  test("hosts that know loads late do not all choose the same server", () => {
+  test("hosts that know loads with a delay do not all choose the same server", () => {
     const records = Array.from({ length: 20 }, (_, index) => {
       const record = server(`s${index}`);
       if (index > 0)
@@ -129,7 +129,7 @@
     expect(new Set(all)).toEqual(new Set(["s0"]));
   });
 
-  describe("copies of kept parts", () => {
+  describe("copies of cached parts", () => {
     const copying = {
       engine: {
         slots: 8,
@@ -139,59 +139,69 @@
       },
     };
 
-    /** A keeper with much to read, and an idle engine that is chosen. */
-    function busyKeeper(): {
-      readonly keeper: ServerRecord;
+    /** An engine with cached parts and a long prefill queue, and an idle engine. */
+    function busyCachingServer(): {
+      readonly cachingServer: ServerRecord;
       readonly records: readonly ServerRecord[];
       readonly prefixes: PrefixKnowledge;
     } {
-      const keeper = server("keeper");
-      keeper.started(20_000);
+      const cachingServer = server("keeper");
+      cachingServer.started(20_000);
       const prefixes = new PrefixKnowledge();
       prefixes.stored("keeper", PARTS.slice(0, 2), 500_000);
-      return { keeper, records: [keeper, server("idle")], prefixes };
+      return {
+        cachingServer,
+        records: [cachingServer, server("idle")],
+        prefixes,
+      };
     }
 
-    function copySource(
-      made: ReturnType<typeof busyKeeper>,
+    function copyOf(
+      setUp: ReturnType<typeof busyCachingServer>,
       inputs: Partial<ChoiceInputs> = copying,
-    ): { readonly from: string | undefined; readonly kept: number } {
-      const outcome = chooseServer(made.records, made.prefixes, {
+    ): { readonly from: string | undefined; readonly cachedTokens: number } {
+      const outcome = chooseServer(setUp.records, setUp.prefixes, {
         ...INPUTS,
         ...inputs,
       });
       if (outcome.kind !== "chosen") throw new Error("no server was chosen");
       const { copyFrom, keptTokens, record } = outcome.choice;
       expect(record.entry.id).toBe("idle");
-      return { from: copyFrom?.entry.id, kept: keptTokens };
+      return { from: copyFrom?.entry.id, cachedTokens: keptTokens };
     }
 
-    test("come from the engine that keeps them, and need not be read", () => {
-      expect(copySource(busyKeeper())).toEqual({ from: "keeper", kept: 6_500 });
+    test("come from the engine that has them cached, and need no prefill", () => {
+      expect(copyOf(busyCachingServer())).toEqual({
+        from: "keeper",
+        cachedTokens: 6_500,
+      });
     });
 
-    test("come from an engine that left just now, not from one long gone", () => {
-      const made = busyKeeper();
-      made.keeper.entry = { ...made.keeper.entry, state: "leaving" };
-      made.keeper.leavingSince = INPUTS.now - 1_000;
-      expect(copySource(made).from).toBe("keeper");
-      made.keeper.leavingSince = INPUTS.now - 2_000;
-      expect(copySource(made)).toEqual({ from: undefined, kept: 0 });
+    test("come from an engine that left recently, not from one long gone", () => {
+      const setUp = busyCachingServer();
+      setUp.cachingServer.entry = {
+        ...setUp.cachingServer.entry,
+        state: "leaving",
+      };
+      setUp.cachingServer.leavingSince = INPUTS.now - 1_000;
+      expect(copyOf(setUp).from).toBe("keeper");
+      setUp.cachingServer.leavingSince = INPUTS.now - 2_000;
+      expect(copyOf(setUp)).toEqual({ from: undefined, cachedTokens: 0 });
     });
 
     test("do not come from an engine that fails", () => {
-      const made = busyKeeper();
-      made.keeper.failed(INPUTS.now, { surelyDown: true });
-      expect(copySource(made).from).toBeUndefined();
+      const setUp = busyCachingServer();
+      setUp.cachingServer.failed(INPUTS.now, { surelyDown: true });
+      expect(copyOf(setUp).from).toBeUndefined();
     });
 
-    test("are left where reading is faster, or engines copy nothing", () => {
+    test("are not made if prefill is faster, or if engines can't copy", () => {
       expect(
-        copySource(busyKeeper(), {
+        copyOf(busyCachingServer(), {
           engine: { ...copying.engine, copyTokensPerMillisecond: 40 },
         }).from,
       ).toBeUndefined();
-      expect(copySource(busyKeeper(), {}).from).toBeUndefined();
+      expect(copyOf(busyCachingServer(), {}).from).toBeUndefined();
     });
   });
 
@@ -211,7 +221,7 @@
     expect(chosen([ready], { inputs: { excluded } })).toBe("none");
   });
 
-  test("takes one that began to leave just now rather than none", () => {
+  test("takes a server that began to leave recently rather than none", () => {
     const leaving = server("leaving");
     leaving.entry = { ...leaving.entry, state: "leaving" };
     leaving.leavingSince = INPUTS.now - 1_100;
@@ -228,20 +238,20 @@
     expect(chosen([gone])).toBe("none");
   });
 
-  test("takes a server that failed back after a while", () => {
+  test("takes a failed server again after its ejection", () => {
     const record = server("s1");
     record.failed(INPUTS.now, { surelyDown: true });
     expect(record.isEjected(INPUTS.now + 200)).toBe(true);
     expect(record.isEjected(INPUTS.now + 500)).toBe(false);
   });
 
-  test("tries one that failed rather than none", () => {
+  test("tries a failed server rather than none", () => {
     const record = server("s1");
     record.failed(INPUTS.now, { surelyDown: true });
     expect(chosen([record])).toBe("s1");
   });
 
-  test("leaves out a server that rejects with places free", () => {
+  test("leaves out a server that rejects requests while it has free slots", () => {
     const rejecting = server("s1");
     rejecting.rejected(INPUTS.now);
     rejecting.rejected(INPUTS.now);
@@ -253,7 +263,7 @@
     expect(full.isEjected(INPUTS.now)).toBe(false);
   });
 
-  test("counts peers' work while their news is fresh", () => {
+  test("counts the work of peers while their updates are fresh", () => {
     const record = server("s1");
     record.heardPeer("b", { running: 5, unreadTokens: 900 }, INPUTS.now);
     expect(record.load(INPUTS.now + 100)).toBe(5);
@@ -261,7 +271,7 @@
     expect(record.load(INPUTS.now + 5_000)).toBe(0);
   });
 
-  test("keeps the plain services' work near, and spreads it", () => {
+  test("keeps plain services' requests in the data hall, and spreads them", () => {
     const plain = { engine: undefined, parts: [], promptTokens: 0 };
     const near = server("near", "a");
     const far = server("far", "b");
--- a/packages/rampswitch-serving/src/choice/leaving_incarnations.ts
+++ b/packages/rampswitch-serving/src/choice/leaving_incarnations.ts
@@ -1,42 +1,48 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Lives of backend servers that said themselves that they leave. What a life said of
- * its end is final. Pure; times are on the steady clock of this host.
+ * Incarnations of backend servers that advertised that they leave. An incarnation
+ * can't withdraw the announcement of its end. Pure; times are in milliseconds on the
+ * monotonic clock of this host.
  *
  * @module
  */
 import { nameOfLife, type ServerLife } from "../model/backend_server.ts";
 
-/** A life that said that it leaves, for hosts without a common clock. */
+/**
+ * An incarnation that advertised that it leaves, in a message to another host. It
+ * holds an age since hosts have no common clock.
+ */
 export interface LeavingNews extends ServerLife {
-  /** Milliseconds since a host read it. */
+  /** Milliseconds since a host read the advertisement. */
   readonly age: number;
 }
 
-/** Where a statement came from. */
+/** Where the announcement of an incarnation's end came from. */
 export type LeavingOrigin =
+  /** The server advertised it in an answer to this host. */
   | "answer"
+  /** Another host reported it. */
   | "peer"
-  /** From the store, which tells all hosts. */
+  /** The incarnation's entry in the store, which all hosts read. */
   | "entry";
 
-interface LeavingLife extends ServerLife {
+interface LeavingIncarnation extends ServerLife {
   readonly since: number;
   readonly origin: LeavingOrigin;
 }
 
-/** Time for which each statement is told to other hosts, in milliseconds. */
-const TOLD_MILLISECONDS = 10_000;
+/** Time for which an incarnation is reported to other hosts, in milliseconds. */
+const REPORT_LIFETIME_MILLISECONDS = 10_000;
 
-/** Lives in one message, the newest first. */
-const MOST_TOLD = 256;
+/** Maximum incarnations in one message, the newest first. */
+const MAXIMUM_UPDATES_PER_MESSAGE = 256;
 
-/** Lives that are remembered. */
-const MOST_KNOWN = 16_384;
+/** Maximum incarnations that are stored. */
+const MAXIMUM_INCARNATIONS = 16_384;
 
-/** Whether a statement is told to other hosts. */
-const TOLD_ORIGINS: Readonly<
+/** Whether an incarnation is reported to other hosts, by its origin. */
+const IS_REPORTED: Readonly<
   Record<LeavingOrigin, (options: { readonly ownOnly: boolean }) => boolean>
 > = {
   answer: () => true,
@@ -44,55 +50,59 @@
   entry: () => false,
 };
 
-/** Lives that said that they leave. */
-export class LeavingLives {
-  readonly #known = new Map<string, LeavingLife>();
+/** Incarnations that advertised that they leave. */
+export class LeavingIncarnations {
+  readonly #known = new Map<string, LeavingIncarnation>();
 
-  /** When a life was first heard to say so; `undefined`: it was not. */
-  since(life: ServerLife): number | undefined {
+  /** When an incarnation first advertised that it leaves; `undefined` if it did not. */
+  since(incarnation: ServerLife): number | undefined {
     return this.#known.size === 0
       ? undefined
-      : this.#known.get(nameOfLife(life))?.since;
+      : this.#known.get(nameOfLife(incarnation))?.since;
   }
 
-  /** Notes what a life said; returns whether that is news. */
-  said(
+  /**
+   * Adds an incarnation; returns whether it was unknown. The earliest time is stored.
+   */
+  add(
     { id, born }: ServerLife,
-    statement: { readonly since: number; readonly origin: LeavingOrigin },
+    advertised: { readonly since: number; readonly origin: LeavingOrigin },
   ): boolean {
     const name = nameOfLife({ id, born });
     const known = this.#known.get(name);
-    if (known !== undefined && known.since <= statement.since) return false;
-    this.#known.set(name, { id, born, ...statement });
+    if (known !== undefined && known.since <= advertised.since) return false;
+    this.#known.set(name, { id, born, ...advertised });
     this.#forgetOldest();
     return known === undefined;
   }
 
   /**
-   * What to tell other hosts: what is young, and what is wanted longer; of what
-   * other hosts told, only if asked.
+   * Returns what to report to other hosts: recent incarnations and those still needed.
+   * With `ownOnly`, leaves out incarnations that other hosts reported.
    */
-  news(
+  updates(
     now: number,
     options: {
       readonly ownOnly: boolean;
-      isWantedLonger(life: ServerLife): boolean;
+      isStillNeeded(incarnation: ServerLife): boolean;
     },
   ): readonly LeavingNews[] {
     return [...this.#known.values()]
-      .filter(({ origin }) => TOLD_ORIGINS[origin](options))
+      .filter(({ origin }) => IS_REPORTED[origin](options))
       .filter(
-        (life) =>
-          now - life.since < TOLD_MILLISECONDS || options.isWantedLonger(life),
+        (incarnation) =>
+          now - incarnation.since < REPORT_LIFETIME_MILLISECONDS ||
+          options.isStillNeeded(incarnation),
       )
       .toSorted((left, right) => right.since - left.since)
-      .slice(0, MOST_TOLD)
+      .slice(0, MAXIMUM_UPDATES_PER_MESSAGE)
       .map(({ id, born, since }) => ({ id, born, age: now - since }));
   }
 
   #forgetOldest(): void {
     const [oldest] = this.#known.keys();
-    if (this.#known.size <= MOST_KNOWN || oldest === undefined) return;
+    if (this.#known.size <= MAXIMUM_INCARNATIONS || oldest === undefined)
+      return;
     this.#known.delete(oldest);
   }
 }
--- a/packages/rampswitch-serving/src/choice/mod.ts
+++ b/packages/rampswitch-serving/src/choice/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which backend server a request goes to.
+ * Selects the backend server for each request.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/choice/prefix_cache_estimate.ts
+++ b/packages/rampswitch-serving/src/choice/prefix_cache_estimate.ts
@@ -1,66 +1,66 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which parts of prompts each backend server is thought to keep, from the
- * dispatches of this host and of its peers. The least recently used parts go
- * first, as they do in the engines.
+ * Estimate of the prompt parts in the prefix cache of each backend server, from the
+ * dispatches of this host and of its peers. The least recently used parts are evicted
+ * first, as in the engines.
  *
  * @module
  */
 import type { PromptPart } from "../model/request.ts";
 
-interface ServerMemory {
+interface ServerCache {
   /** Tokens of each part, least recently used first. */
   readonly parts: Map<string, number>;
   tokens: number;
 }
 
-/** Share of an engine's memory that cached parts are thought to keep. */
-const CACHE_SHARE = 0.6;
+/** Share of an engine's KV-cache memory that cached parts are assumed to use. */
+const CACHE_MEMORY_SHARE = 0.6;
 
-/** Parts kept by each backend server. */
+/** Estimates the prompt parts that each backend server has cached. */
 export class PrefixKnowledge {
-  readonly #servers = new Map<string, ServerMemory>();
+  readonly #servers = new Map<string, ServerCache>();
 
-  /** Notes that a server reads or has read these parts. */
+  /** Records that a server processes or has processed these parts. */
   stored(
     serverId: string,
     parts: readonly PromptPart[],
     memoryTokens: number,
   ): void {
-    const memory = this.#servers.get(serverId) ?? {
+    const cache = this.#servers.get(serverId) ?? {
       parts: new Map<string, number>(),
       tokens: 0,
     };
-    this.#servers.set(serverId, memory);
+    this.#servers.set(serverId, cache);
     parts.forEach((part) => {
-      memory.tokens += part.tokens - (memory.parts.get(part.id) ?? 0);
-      memory.parts.delete(part.id);
-      memory.parts.set(part.id, part.tokens);
+      cache.tokens += part.tokens - (cache.parts.get(part.id) ?? 0);
+      cache.parts.delete(part.id);
+      cache.parts.set(part.id, part.tokens);
     });
-    while (memory.tokens > memoryTokens * CACHE_SHARE) {
-      const oldest = memory.parts.entries().next().value;
+    while (cache.tokens > memoryTokens * CACHE_MEMORY_SHARE) {
+      const oldest = cache.parts.entries().next().value;
       if (oldest === undefined) break;
-      memory.parts.delete(oldest[0]);
-      memory.tokens -= oldest[1];
+      cache.parts.delete(oldest[0]);
+      cache.tokens -= oldest[1];
     }
   }
 
-  /** Tokens from the start of a prompt that a server is thought to keep. */
-  keptTokens(serverId: string, parts: readonly PromptPart[]): number {
-    const memory = this.#servers.get(serverId);
-    if (memory === undefined) return 0;
-    const missing = parts.findIndex((part) => !memory.parts.has(part.id));
-    const kept = missing < 0 ? parts : parts.slice(0, missing);
-    return kept.reduce((sum, part) => sum + part.tokens, 0);
+  /** Returns the tokens from the start of a prompt that a server probably has cached. */
+  cachedTokens(serverId: string, parts: readonly PromptPart[]): number {
+    const cache = this.#servers.get(serverId);
+    if (cache === undefined) return 0;
+    const missing = parts.findIndex((part) => !cache.parts.has(part.id));
+    const cached = missing < 0 ? parts : parts.slice(0, missing);
+    return cached.reduce((sum, part) => sum + part.tokens, 0);
   }
 
-  /** Forgets what a server kept that holds nothing of before. */
+  /** Forgets the parts of a server whose cache is empty, such as one that restarted. */
   forget(serverId: string): void {
     this.#servers.delete(serverId);
   }
 
-  /** Forgets servers that are no longer listed. */
+  /** Forgets all servers but those given, which are listed. */
   retain(serverIds: ReadonlySet<string>): void {
     [...this.#servers.keys()]
       .filter((id) => !serverIds.has(id))
--- a/packages/rampswitch-serving/src/choice/prefix_copy.ts
+++ b/packages/rampswitch-serving/src/choice/prefix_copy.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which kept parts of a prompt an engine copies from another one before it reads
- * the rest. Pure.
+ * Plans which cached parts of a prompt an engine copies from another engine before the
+ * prefill of the remaining parts. Pure.
  *
  * @module
  */
@@ -11,73 +11,78 @@
 import type { PrefixKnowledge } from "./prefix_cache_estimate.ts";
 import type { ServerRecord } from "./server_record.ts";
 
-/** Time to begin a copy of kept parts, in milliseconds; engines take 3 to 6. */
+/** Time to start a copy of cached parts, in milliseconds; engines take 3 to 6. */
 const COPY_SETUP_MILLISECONDS = 6;
 
-/** A copy between data halls takes this many times as long. */
-const FAR_COPY_FACTOR = 2;
+/** Factor by which a copy between data halls takes longer. */
+const OTHER_DATA_HALL_COPY_FACTOR = 2;
 
-/** What a copy depends on beside the engines themselves. */
+/** Inputs of a copy beside the engines. */
 export interface CopyInputs {
+  /** Milliseconds on the monotonic clock. */
   readonly now: number;
   readonly engine: EngineLimits | undefined;
   readonly parts: readonly PromptPart[];
-  /** Tokens that an engine reads in a millisecond. */
+  /** Prefill rate of an engine, in tokens per millisecond. */
   readonly readingRate: number;
 }
 
-/** An engine that keeps a part of a prompt. */
-export interface Keeper {
+/** An engine that has a part of a prompt cached. */
+export interface CopySource {
   readonly record: ServerRecord;
+  /** Cached tokens from the start of the prompt. */
   readonly tokens: number;
 }
 
 /**
- * The engine that keeps most of a prompt, full and leaving ones included: its
- * memory can be copied while it lives.
+ * Finds the engine with most of a prompt cached; `undefined` if engines can't copy.
+ * Full and leaving engines count too, since their KV-cache memory can be copied until
+ * their process ends.
  */
-export function keeperOf(
+export function findCopySource(
   records: readonly ServerRecord[],
   prefixes: PrefixKnowledge,
   { engine, now, parts }: CopyInputs,
-): Keeper | undefined {
+): CopySource | undefined {
   if (engine?.copyTokensPerMillisecond === undefined) return undefined;
   return records
-    .filter((record) => !record.isEjected(now) && record.answersFor(now))
+    .filter((record) => !record.isEjected(now) && record.isReachable(now))
     .map((record) => ({
       record,
-      tokens: prefixes.keptTokens(record.entry.id, parts.slice(0, -1)),
+      tokens: prefixes.cachedTokens(record.entry.id, parts.slice(0, -1)),
     }))
-    .reduce<Keeper | undefined>(
-      (most, next) => (next.tokens > (most?.tokens ?? 0) ? next : most),
+    .reduce<CopySource | undefined>(
+      (best, next) => (next.tokens > (best?.tokens ?? 0) ? next : best),
       undefined,
     );
 }
 
-/** What copying a prompt's parts from their keeper takes and saves. */
-export interface CopiedParts {
+/** The source, size and duration of a copy. */
+export interface CopyPlan {
   readonly from: ServerRecord | undefined;
   readonly tokens: number;
   readonly milliseconds: number;
 }
 
-const NO_COPY: CopiedParts = { from: undefined, tokens: 0, milliseconds: 0 };
+const NO_COPY: CopyPlan = { from: undefined, tokens: 0, milliseconds: 0 };
 
-/** Copies what an engine lacks where that is faster than to read it. */
-export function copiedParts(
+/** Plans a copy of the parts that an engine lacks if that is faster than prefill. */
+export function planCopy(
   record: ServerRecord,
-  keptTokens: number,
-  inputs: CopyInputs & { readonly keeper: Keeper | undefined },
-): CopiedParts {
-  const { keeper, engine, readingRate } = inputs;
+  cachedTokens: number,
+  inputs: CopyInputs & { readonly copySource: CopySource | undefined },
+): CopyPlan {
+  const { copySource: keeper, engine, readingRate } = inputs;
   const rate = engine?.copyTokensPerMillisecond;
   if (keeper === undefined || keeper.record === record || rate === undefined) {
     return NO_COPY;
   }
-  const tokens = keeper.tokens - keptTokens;
-  const far = keeper.record.entry.dataHall !== record.entry.dataHall;
+  const tokens = keeper.tokens - cachedTokens;
+  const isOtherDataHall =
+    keeper.record.entry.dataHall !== record.entry.dataHall;
   const milliseconds =
-    COPY_SETUP_MILLISECONDS + (tokens / rate) * (far ? FAR_COPY_FACTOR : 1);
+    COPY_SETUP_MILLISECONDS +
+    (tokens / rate) * (isOtherDataHall ? OTHER_DATA_HALL_COPY_FACTOR : 1);
   return milliseconds < tokens / readingRate
     ? { from: keeper.record, tokens, milliseconds }
     : NO_COPY;
--- a/packages/rampswitch-serving/src/choice/server_back_off.ts
+++ b/packages/rampswitch-serving/src/choice/server_back_off.ts
@@ -1,111 +1,117 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The rest that one life of a backend server asked this host for, and the return
- * after it: nothing is sent to the end of the rest, then one request after the other,
- * and with each one that is taken twice as many at once. Pure.
+ * Back-off of this host from one incarnation of a backend server, and the return
+ * after it. Nothing is sent until the back-off ends. Then one request is sent at a
+ * time, and each accepted request doubles the number that may be in flight. Pure.
  *
  * @module
  */
 
-/** A rest as it was asked for. */
-export interface RestAsked {
-  /** When it was asked for, on the steady clock. */
+/** A back-off that a server requested from this host. */
+export interface BackOffRequest {
+  /** When it was requested, in milliseconds on the monotonic clock. */
   readonly now: number;
+  /** Requested length. */
   readonly milliseconds: number;
-  /** Time after its end at which this host is to return, in milliseconds. */
+  /** Time between its end and the first send of this host, in milliseconds. */
   readonly returnsAfter: number;
 }
 
-/** Longest rest that is kept, in milliseconds; no server is left out for ever. */
-const LONGEST_MILLISECONDS = 3_600_000;
+/**
+ * Maximum length of a back-off, in milliseconds. Longer requests are cut, so that no
+ * server is left out forever.
+ */
+const MAXIMUM_BACK_OFF_MILLISECONDS = 3_600_000;
 
-/** Time over which a server's rests count for the plan, in milliseconds. */
-const COUNTED_MILLISECONDS = 10_000;
+/** Window over which the capacity plan counts back-offs, in milliseconds. */
+const SHARE_WINDOW_MILLISECONDS = 10_000;
 
-interface Span {
+interface Interval {
   readonly from: number;
   readonly until: number;
 }
 
-/** Rests of one life of a server, as this host was asked for them. */
-export class AskedRest {
-  #until = -Infinity;
+/** Back-offs that one incarnation of a server requested from this host. */
+export class ServerBackOff {
+  #endsAt = -Infinity;
   #returnsAt = -Infinity;
-  /** Requests that may be there at once after a rest; infinite where all may. */
-  #allowed = Infinity;
-  #underWay = 0;
-  #spans: readonly Span[] = [];
+  /** Maximum requests in flight after a back-off; infinite when unlimited. */
+  #maximumInFlight = Infinity;
+  #inFlight = 0;
+  #backOffs: readonly Interval[] = [];
 
-  /** When this host returns, on the steady clock. */
+  /** When this host may send again, in milliseconds on the monotonic clock. */
   get returnsAt(): number {
     return this.#returnsAt;
   }
 
-  /** Takes in that a rest is asked for; the latest of several ends holds. */
-  asked({ now, milliseconds, returnsAfter }: RestAsked): void {
-    const until = now + Math.min(milliseconds, LONGEST_MILLISECONDS);
-    if (until <= this.#until) return;
-    this.#spans = [...this.#recent(now), { from: now, until }];
-    this.#until = until;
-    this.#returnsAt = until + returnsAfter;
-    this.#allowed = 1;
+  /** Applies a requested back-off. Of several back-offs, the one that ends last counts. */
+  asked({ now, milliseconds, returnsAfter }: BackOffRequest): void {
+    const endsAt = now + Math.min(milliseconds, MAXIMUM_BACK_OFF_MILLISECONDS);
+    if (endsAt <= this.#endsAt) return;
+    this.#backOffs = [...this.#recent(now), { from: now, until: endsAt }];
+    this.#endsAt = endsAt;
+    this.#returnsAt = endsAt + returnsAfter;
+    this.#maximumInFlight = 1;
   }
 
-  /** Whether nothing may be sent. */
+  /** Whether nothing may be sent yet. */
   holds(now: number): boolean {
     return now < this.#returnsAt;
   }
 
-  /** Whether one more request may be sent, as far as rests go. */
+  /** Whether the back-off allows one more request. */
   takes(now: number): boolean {
-    return !this.holds(now) && this.#underWay < this.#allowed;
+    return !this.holds(now) && this.#inFlight < this.#maximumInFlight;
   }
 
   /**
-   * Notes a send after a rest; the returned functions end its parts, each once. All
-   * may be sent once as many are taken at once as the server has slots.
+   * Records a send and returns callbacks for its progress; repeated calls have no
+   * effect. The limit on requests in flight is lifted once it reaches the number of
+   * slots of the server.
    */
-  sent(slots: number): { taken(): void; ended(): void } {
-    if (!Number.isFinite(this.#allowed)) return NOTHING_TO_END;
-    let underWay = 1;
-    let untaken = 1;
-    this.#underWay += 1;
+  sent(slots: number): { requestAccepted(): void; ended(): void } {
+    if (!Number.isFinite(this.#maximumInFlight)) return UNTRACKED_SEND;
+    let inFlight = 1;
+    let notAccepted = 1;
+    this.#inFlight += 1;
     return {
-      taken: () => {
-        this.#allowed *= 2 ** untaken;
-        untaken = 0;
-        if (this.#allowed >= slots) this.#allowed = Infinity;
+      requestAccepted: () => {
+        this.#maximumInFlight *= 2 ** notAccepted;
+        notAccepted = 0;
+        if (this.#maximumInFlight >= slots) this.#maximumInFlight = Infinity;
       },
       ended: () => {
-        this.#underWay -= underWay;
-        underWay = 0;
+        this.#inFlight -= inFlight;
+        inFlight = 0;
       },
     };
   }
 
-  /** Part of the newest time in which the server rested, 0 to 1. */
+  /** Share of the window before `now` that back-offs covered, 0 to 1. */
   share(now: number): number {
-    const since = now - COUNTED_MILLISECONDS;
+    const since = now - SHARE_WINDOW_MILLISECONDS;
     const merged = this.#recent(now).reduce(
-      ({ rested, last }, { from, until }) => ({
-        rested:
-          rested + Math.max(0, Math.min(until, now) - Math.max(from, last)),
+      ({ covered, last }, { from, until }) => ({
+        covered:
+          covered + Math.max(0, Math.min(until, now) - Math.max(from, last)),
         last: Math.max(last, Math.min(until, now)),
       }),
-      { rested: 0, last: since },
+      { covered: 0, last: since },
     );
-    return merged.rested / COUNTED_MILLISECONDS;
+    return merged.covered / SHARE_WINDOW_MILLISECONDS;
   }
 
-  #recent(now: number): readonly Span[] {
-    return this.#spans.filter(
-      ({ until }) => until > now - COUNTED_MILLISECONDS,
+  #recent(now: number): readonly Interval[] {
+    return this.#backOffs.filter(
+      ({ until }) => until > now - SHARE_WINDOW_MILLISECONDS,
     );
   }
 }
 
-const NOTHING_TO_END = {
-  taken: () => undefined,
+/** Callbacks for a send that no back-off limits. */
+const UNTRACKED_SEND = {
+  requestAccepted: () => undefined,
   ended: () => undefined,
 };
--- a/packages/rampswitch-serving/src/choice/server_directory.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * All backend servers that the platform lists, by id and by service. A record is
- * one life of a server: when a later life is listed under the same id, the former
- * record ends, and all that was known of it goes with it.
+ * Directory of all backend servers that the platform lists, by id and by service. A
+ * record holds the state of one incarnation of a server. When a later incarnation is
+ * listed under the same id, the former record ends and its state is dropped.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   type ServerLife,
 } from "../model/backend_server.ts";
 import {
-  LeavingLives,
+  LeavingIncarnations,
   type LeavingNews,
   type LeavingOrigin,
 } from "./leaving_incarnations.ts";
@@ -23,26 +23,27 @@
   type WorkAtServer,
 } from "./server_record.ts";
 
-/** What became of an entry. */
+/** Outcome of an entry. */
 export type EntryOutcome =
-  /** It is of a life that is known, or of the first one of its id. */
+  /** The entry names a known incarnation, or the first one of its id. */
   | { readonly kind: "listed" }
-  /** It tells a later life; the former one has ended. */
+  /** The entry names a later incarnation; the former one has ended. */
   | { readonly kind: "started_again"; readonly former: ServerRecord }
-  /** It tells a life before the known one, and was left out. */
+  /** The entry names an incarnation before the known one, and was ignored. */
   | { readonly kind: "former_life"; readonly known: ServerRecord }
-  /** It tells no life where one was told, so it can't be read. */
+  /** The entry names no incarnation although an earlier one did, so it is invalid. */
   | { readonly kind: "without_life"; readonly known: ServerRecord };
 
 /**
- * Time for which the life of a server is remembered whose entry went, in
+ * Time for which the record of a server is retained after its entry is removed, in
  * milliseconds; longer than any request may take.
  */
-const REMEMBERED_MILLISECONDS = 60_000;
+const GONE_SERVER_RETENTION_MILLISECONDS = 60_000;
 
-/** A server whose entry went. */
+/** A server whose entry was removed. */
 interface GoneServer {
   readonly record: ServerRecord;
+  /** When its entry was removed, in milliseconds on the monotonic clock. */
   readonly at: number;
 }
 
@@ -51,7 +52,7 @@
   readonly #records = new Map<string, ServerRecord>();
   readonly #gone = new Map<string, GoneServer>();
   readonly #byService = new Map<string, ReadonlySet<ServerRecord>>();
-  readonly #leavingLives = new LeavingLives();
+  readonly #leavingIncarnations = new LeavingIncarnations();
   readonly #listeners: ((record: ServerRecord) => void)[] = [];
 
   /** Number of servers listed. */
@@ -59,12 +60,12 @@
     return this.#records.size;
   }
 
-  /** Calls back when a server is announced to leave or is gone. */
+  /** Registers a listener for servers whose end is announced or whose entry is removed. */
   onLeaving(listener: (record: ServerRecord) => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Takes in a server's entry. */
+  /** Applies a server's entry. */
   put(entry: BackendServer, now: number): EntryOutcome {
     const known =
       this.#records.get(entry.id) ?? this.#gone.get(entry.id)?.record;
@@ -75,74 +76,75 @@
     if (entry.born === undefined && known.entry.born !== undefined) {
       return { kind: "without_life", known };
     }
-    const order = orderOfLives(entry.born, known.entry.born);
+    const order = compareIncarnations(entry.born, known.entry.born);
     if (order < 0) return { kind: "former_life", known };
-    if (order > 0) return this.#startAgain(known, entry, now);
-    this.#list(this.#sameLife(known, entry), entry, now);
+    if (order > 0) return this.#restart(known, entry, now);
+    this.#list(this.#sameIncarnation(known, entry), entry, now);
     return { kind: "listed" };
   }
 
   /**
-   * Takes in that a server's entry can't be read. What is known of the server
-   * stays, for when the entry is good again.
+   * Records that a server's entry can't be read. The state of the server is retained
+   * until the entry can be read again.
    */
   unreadable(id: string): void {
     const record = this.#records.get(id);
     if (record !== undefined) record.isReadable = false;
   }
 
-  /** Takes a server off the list whose entry is gone; its life may go on. */
+  /** Removes a server whose entry was removed; its incarnation may still run. */
   remove(id: string, now: number): void {
     const record = this.#records.get(id);
     if (record === undefined) return;
     this.#unlist(record);
-    this.#forgetOldest(now);
+    this.#forgetExpired(now);
     this.#gone.set(id, { record, at: now });
     const wasReady = record.entry.state === "ready";
     record.entry = { ...record.entry, state: "leaving" };
-    if (wasReady) this.#leaves(record, now);
+    if (wasReady) this.#notifyLeaving(record, now);
   }
 
   /**
-   * Takes in that a life said itself that it leaves. It holds whatever its entry
-   * says; returns whether it is news.
+   * Records that an incarnation advertised that it leaves; returns whether this is new.
+   * The advertisement takes precedence over the state in the server's entry.
    */
-  saidLeaving(
-    life: ServerLife,
-    statement: {
+  advertisedLeaving(
+    incarnation: ServerLife,
+    advertised: {
       readonly since: number;
       readonly now: number;
       readonly origin: LeavingOrigin;
     },
   ): boolean {
-    if (!this.#leavingLives.said(life, statement)) return false;
-    const record = this.#records.get(life.id);
+    if (!this.#leavingIncarnations.add(incarnation, advertised)) return false;
+    const record = this.#records.get(incarnation.id);
     const isListed =
-      record !== undefined && nameOfLife(record.entry) === nameOfLife(life);
+      record !== undefined &&
+      nameOfLife(record.entry) === nameOfLife(incarnation);
     if (isListed && record.entry.state === "ready") {
-      this.#list(record, record.entry, statement.now);
+      this.#list(record, record.entry, advertised.now);
     }
     return true;
   }
 
-  /** Lives that said that they leave, to tell other hosts. */
-  leavingNews(
+  /** Returns the incarnations that advertised that they leave, for other hosts. */
+  leavingUpdates(
     now: number,
     { ownOnly }: { readonly ownOnly: boolean },
   ): readonly LeavingNews[] {
-    return this.#leavingLives.news(now, {
+    return this.#leavingIncarnations.updates(now, {
       ownOnly,
-      // Its entry does not tell it to anybody.
-      isWantedLonger: ({ id }) => this.#records.get(id)?.isListedReady === true,
+      // While the entry still says "ready", hosts don't learn it from the store.
+      isStillNeeded: ({ id }) => this.#records.get(id)?.isListedReady === true,
     });
   }
 
-  /** One server. */
+  /** Returns one server; `undefined` if it is not listed. */
   get(id: string): ServerRecord | undefined {
     return this.#records.get(id);
   }
 
-  /** Whether an entry is of a life that is known and whose entry has gone. */
+  /** Whether an entry names a known incarnation whose entry was removed. */
   isGone(entry: BackendServer): boolean {
     const gone = this.#gone.get(entry.id)?.record;
     return (
@@ -152,12 +154,15 @@
     );
   }
 
-  /** Servers of a service whose entries can be read. */
+  /** Returns the servers of a service whose entries can be read. */
   of(service: string): readonly ServerRecord[] {
     return this.#listed(service).filter(({ isReadable }) => isReadable);
   }
 
-  /** The same, with those whose entries can't be read or went lately. */
+  /**
+   * Returns the servers of a service, including those whose entries can't be read or
+   * were removed recently.
+   */
   everOf(service: string): readonly ServerRecord[] {
     const gone = [...this.#gone.values()]
       .map(({ record }) => record)
@@ -165,7 +170,7 @@
     return [...this.#listed(service), ...gone];
   }
 
-  /** Requests at all servers of a service, from all hosts. */
+  /** Returns the number of requests at all servers of a service, from all hosts. */
   load(service: string, now: number): number {
     return this.#listed(service).reduce(
       (sum, record) => sum + record.load(now),
@@ -173,32 +178,36 @@
     );
   }
 
-  /** All servers, those whose entries can't be read included. */
+  /** Returns all listed servers, including those whose entries can't be read. */
   all(): readonly ServerRecord[] {
     return [...this.#records.values()];
   }
 
-  /** Takes in a peer's work at servers, by server id. */
+  /** Applies an update of a peer's work at servers, by server id. */
   heardPeer(
     peer: string,
     work: Readonly<Record<string, ToldWork>>,
     now: number,
   ): void {
     this.#records.forEach((record, id) => {
-      const told = work[id];
-      // Peers hear of a new life earlier or later than this host.
-      const ofThisLife = told !== undefined && record.isLife(told.born);
-      record.heardPeer(peer, ofThisLife ? told : undefined, now);
+      const reported = work[id];
+      // Peers receive a new incarnation earlier or later than this host.
+      const ofThisIncarnation =
+        reported !== undefined && record.isLife(reported.born);
+      record.heardPeer(peer, ofThisIncarnation ? reported : undefined, now);
     });
   }
 
-  /** Work of all hosts but one, by server id; idle servers are left out. */
+  /** Returns the work of all hosts but one, by server id, without idle servers. */
   workBeside(peer: string, now: number): Readonly<Record<string, ToldWork>> {
     return Object.fromEntries(
       this.all()
-        .map((record) => [record, record.workBeside(peer, now)] as const)
+        .map((record) => [record, record.workExcept(peer, now)] as const)
         .filter(([, work]) => work.running > 0)
-        .map(([record, work]) => [record.entry.id, toldOf(record, work)]),
+        .map(([record, work]) => [
+          record.entry.id,
+          reportedWorkOf(record, work),
+        ]),
     );
   }
 
@@ -206,49 +215,53 @@
     return [...(this.#byService.get(service) ?? [])];
   }
 
-  /** Work of this host, by server id; idle servers are left out. */
+  /** Returns the work of this host, by server id, without idle servers. */
   ownWork(): Readonly<Record<string, ToldWork>> {
     return Object.fromEntries(
       this.all()
         .filter((record) => record.ownRunning > 0)
-        .map((record) => [record.entry.id, toldOf(record, record.ownWork)]),
+        .map((record) => [
+          record.entry.id,
+          reportedWorkOf(record, record.ownWork),
+        ]),
     );
   }
 
-  #startAgain(
+  #restart(
     former: ServerRecord,
     entry: BackendServer,
     now: number,
   ): EntryOutcome {
     this.#unlist(former);
     former.end();
-    this.#list(new ServerRecord(entry, { startedAgain: true }), entry, now);
+    this.#list(new ServerRecord(entry, { restarted: true }), entry, now);
     return { kind: "started_again", former };
   }
 
   /**
-   * The record of a life that is listed on, or again. An entry may lapse while
-   * its server lives, and requests that run there still hold the record. Without
-   * a life told, an entry that comes back may be of another one.
+   * Returns the record of an incarnation that is still listed or listed again. An
+   * entry may lapse while its server runs, and the requests that run there still use
+   * the record. An entry without an incarnation gets a new record after a lapse, since
+   * it may belong to a restarted server. It takes over only the back-off.
    */
-  #sameLife(known: ServerRecord, entry: BackendServer): ServerRecord {
+  #sameIncarnation(known: ServerRecord, entry: BackendServer): ServerRecord {
     const lapsed = this.#gone.has(entry.id);
     return lapsed && entry.born === undefined
-      ? new ServerRecord(entry, { startedAgain: false, rest: known.rest })
+      ? new ServerRecord(entry, { restarted: false, backOff: known.rest })
       : known;
   }
 
   #list(record: ServerRecord, entry: BackendServer, now: number): void {
     const { id, service } = entry;
     if (entry.state === "leaving") {
-      this.#leavingLives.said(entry, { since: now, origin: "entry" });
+      this.#leavingIncarnations.add(entry, { since: now, origin: "entry" });
     }
-    const saidSince = this.#leavingLives.since(entry);
-    const state = saidSince === undefined ? entry.state : "leaving";
-    const listedBefore = this.#records.get(id) === record;
-    const announced = listedBefore && record.entry.state !== "ready";
-    const moved = listedBefore && record.entry.service !== service;
-    if (moved) this.#unlist(record);
+    const advertisedSince = this.#leavingIncarnations.since(entry);
+    const state = advertisedSince === undefined ? entry.state : "leaving";
+    const wasListed = this.#records.get(id) === record;
+    const wasLeaving = wasListed && record.entry.state !== "ready";
+    const changesService = wasListed && record.entry.service !== service;
+    if (changesService) this.#unlist(record);
     this.#gone.delete(id);
     record.entry = { ...entry, state };
     record.isListedReady = entry.state === "ready";
@@ -256,7 +269,7 @@
     this.#records.set(id, record);
     this.#byService.set(service, new Set([...this.#listed(service), record]));
     if (state === "ready") record.leavingSince = undefined;
-    else if (!announced) this.#leaves(record, saidSince ?? now);
+    else if (!wasLeaving) this.#notifyLeaving(record, advertisedSince ?? now);
   }
 
   #unlist(record: ServerRecord): void {
@@ -268,23 +281,23 @@
     );
   }
 
-  #forgetOldest(now: number): void {
+  #forgetExpired(now: number): void {
     [...this.#gone]
-      .filter(([, { at }]) => now - at > REMEMBERED_MILLISECONDS)
+      .filter(([, { at }]) => now - at > GONE_SERVER_RETENTION_MILLISECONDS)
       .forEach(([id]) => this.#gone.delete(id));
   }
 
-  #leaves(record: ServerRecord, since: number): void {
+  #notifyLeaving(record: ServerRecord, since: number): void {
     record.leavingSince ??= since;
     this.#listeners.forEach((listener) => listener(record));
   }
 }
 
 /**
- * Positive where the first life began later. A server tells its life in all that
- * it says or in nothing, so one that is told follows one that is not.
+ * Compares two incarnations; positive if the first one started later. A server names
+ * its incarnation always or never, so a named one counts as later than an unnamed one.
  */
-function orderOfLives(
+function compareIncarnations(
   born: number | undefined,
   other: number | undefined,
 ): number {
@@ -293,6 +306,6 @@
     : (born ?? -Infinity) - (other ?? -Infinity);
 }
 
-function toldOf({ entry }: ServerRecord, work: WorkAtServer): ToldWork {
+function reportedWorkOf({ entry }: ServerRecord, work: WorkAtServer): ToldWork {
   return { ...work, born: entry.born };
 }
--- a/packages/rampswitch-serving/src/choice/server_directory_test.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory_test.ts
@@ -6,11 +6,10 @@
 import { ServerDirectory } from "./server_directory.ts";
 import type { ServerRecord } from "./server_record.ts";
 
-// A server that starts again keeps its id and its address, and holds nothing of
-// before. Hosts kept one record for each id: `leavingSince` was set once and never
-// cleared, and the load that peers told of the former life, its ejection and its
-// failures counted for the new one. Each test compares a record with what was said
-// of its own life alone.
+// A restarted server keeps its id and its address, but none of its former state. With
+// one record per id, `leavingSince` of the former incarnation was never cleared, and
+// its reported load, ejection and failures counted for the new incarnation. Each test
+// compares a record with the inputs about its own incarnation only.
 
 const ENTRY: BackendServer = {
   id: "s1",
@@ -24,19 +23,19 @@
   reclaimable: true,
 };
 
-const LATER: BackendServer = { ...ENTRY, born: 2_000 };
+const RESTARTED: BackendServer = { ...ENTRY, born: 2_000 };
 
 const DOWN = { surelyDown: true };
 
-/** A directory that knows one life of a server, with much said of it. */
-function busy(): {
+/** A directory with one server that has work, a load report and a failure. */
+function directoryWithWork(): {
   readonly directory: ServerDirectory;
   readonly former: ServerRecord;
 } {
   const directory = new ServerDirectory();
   directory.put(ENTRY, 0);
   const former = directory.get("s1");
-  if (former === undefined) throw new Error("the server is listed");
+  if (former === undefined) throw new Error("the server is not listed");
   former.started(500);
   former.reported({ running: 6, waiting: 3, slots: 8 }, 0);
   former.failed(0, DOWN);
@@ -45,11 +44,14 @@
   return { directory, former };
 }
 
-describe("a server that starts again", () => {
+describe("a restarted server", () => {
   test("has a record that takes over nothing", () => {
-    const { directory, former } = busy();
+    const { directory, former } = directoryWithWork();
     directory.put({ ...ENTRY, state: "leaving" }, 0);
-    expect(directory.put(LATER, 1)).toEqual({ kind: "started_again", former });
+    expect(directory.put(RESTARTED, 1)).toEqual({
+      kind: "started_again",
+      former,
+    });
     const record = directory.get("s1");
     expect(record).not.toBe(former);
     expect(record?.load(1)).toBe(0);
@@ -64,54 +66,51 @@
     expect(directory.of("models")).toEqual([record]);
   });
 
-  test("ends a life whose entry had gone before", () => {
-    const { directory, former } = busy();
+  test("ends its former incarnation even if that one's entry was removed", () => {
+    const { directory, former } = directoryWithWork();
     directory.remove("s1", 1);
     expect(former.ended).toBe(false);
-    directory.put(LATER, 2);
+    directory.put(RESTARTED, 2);
     expect(former.ended).toBe(true);
   });
 
-  test("is not told by an entry of a former life", () => {
-    const { directory } = busy();
-    directory.put(LATER, 1);
+  test("is not changed by an entry of its former incarnation", () => {
+    const { directory } = directoryWithWork();
+    directory.put(RESTARTED, 1);
     const record = directory.get("s1");
     expect(directory.put(ENTRY, 2).kind).toBe("former_life");
     expect(directory.get("s1")).toBe(record);
-    expect(record?.entry).toEqual(LATER);
+    expect(record?.entry).toEqual(RESTARTED);
     directory.remove("s1", 3);
     expect(directory.put(ENTRY, 4).kind).toBe("former_life");
     expect(directory.get("s1")).toBeUndefined();
   });
 
-  test("is listed for its new service alone", () => {
-    const { directory } = busy();
-    directory.put({ ...LATER, service: "other" }, 1);
+  test("is listed for its new service only", () => {
+    const { directory } = directoryWithWork();
+    directory.put({ ...RESTARTED, service: "other" }, 1);
     expect(directory.of("models")).toEqual([]);
     expect(directory.of("other")).toEqual([directory.get("s1")]);
   });
 
-  test("hears no work that a peer counts at its former life, or at none", () => {
-    const { directory } = busy();
-    directory.put(LATER, 1);
-    const heard = (born: number | undefined) => {
-      directory.heardPeer("b", { s1: { ...LOADED, born } }, 1);
+  test("ignores peers' work at its former incarnation or at an unnamed one", () => {
+    const { directory } = directoryWithWork();
+    directory.put(RESTARTED, 1);
+    const loadAfterUpdate = (born: number | undefined) => {
+      directory.heardPeer("b", { s1: { ...PEER_WORK, born } }, 1);
       return directory.get("s1")?.load(1);
     };
-    expect([ENTRY.born, undefined, LATER.born, 3_000].map(heard)).toEqual([
-      0,
-      0,
-      LOADED.running,
-      0,
-    ]);
+    expect(
+      [ENTRY.born, undefined, RESTARTED.born, 3_000].map(loadAfterUpdate),
+    ).toEqual([0, 0, PEER_WORK.running, 0]);
   });
 });
 
-const LOADED = { running: 4, unreadTokens: 900 };
+const PEER_WORK = { running: 4, unreadTokens: 900 };
 
-describe("a life whose entry lapsed", () => {
-  test("keeps its record, and what runs there", () => {
-    const { directory, former } = busy();
+describe("an incarnation whose entry lapsed", () => {
+  test("keeps its record and its work", () => {
+    const { directory, former } = directoryWithWork();
     directory.remove("s1", 1);
     directory.put(ENTRY, 2);
     expect(directory.get("s1")).toBe(former);
@@ -119,7 +118,7 @@
     expect(directory.of("models")).toEqual([former]);
   });
 
-  test("can't be told from another one where servers tell none", () => {
+  test("gets a new record if its entries name no incarnation", () => {
     const directory = new ServerDirectory();
     const entry = { ...ENTRY, born: undefined };
     directory.put(entry, 0);
@@ -131,45 +130,45 @@
   });
 });
 
-describe("servers of a deployment that tells lives", () => {
-  test("have no life before the first that is told", () => {
+describe("a deployment that names incarnations", () => {
+  test("treats the first named incarnation as a restart", () => {
     const directory = new ServerDirectory();
     directory.put({ ...ENTRY, born: undefined }, 0);
     const former = directory.get("s1");
     expect(directory.put(ENTRY, 1)).toEqual({ kind: "started_again", former });
   });
 
-  test("can't be read without one afterwards", () => {
-    const { directory, former } = busy();
+  test("reports that later entries without an incarnation can't be read", () => {
+    const { directory, former } = directoryWithWork();
     const outcome = directory.put({ ...ENTRY, born: undefined }, 1);
     expect(outcome).toEqual({ kind: "without_life", known: former });
   });
 });
 
-/** What was said of one life. */
-interface LifeModel {
+/** Inputs about one incarnation. */
+interface IncarnationModel {
   own: number;
   peers: Map<string, number>;
   failed: boolean;
 }
 
-/** What a directory should know of one server. */
+/** Expected state of one server in a directory. */
 class ServerModel {
-  /** The newest life that was told. */
+  /** Start of the latest named incarnation. */
   born: number | undefined;
   listed = false;
-  startedAgain = false;
-  lives = new Map<number | undefined, LifeModel>();
+  restarted = false;
+  incarnations = new Map<number | undefined, IncarnationModel>();
 
-  /** The life that is in force. */
-  get life(): LifeModel {
-    const life = this.lives.get(this.born) ?? {
+  /** The current incarnation. */
+  get incarnation(): IncarnationModel {
+    const incarnation = this.incarnations.get(this.born) ?? {
       own: 0,
       peers: new Map<string, number>(),
       failed: false,
     };
-    this.lives.set(this.born, life);
-    return life;
+    this.incarnations.set(this.born, incarnation);
+    return incarnation;
   }
 }
 
@@ -183,62 +182,62 @@
   random: Random,
 ) => void;
 
-/** Lives rise, fall, come again or are missing. */
-const entryComes: Step = (directory, model, random) => {
+/** Lists an entry of a later, an earlier, the same or no incarnation. */
+const entryIsListed: Step = (directory, model, random) => {
   const known = model.born ?? 0;
   const drawn = known + random.below(5) - 2;
   const born = random.below(8) === 0 || drawn <= 0 ? undefined : drawn;
   directory.put({ ...ENTRY, born }, 0);
   const missing = born === undefined && model.born !== undefined;
   if (missing || (born ?? 0) < known) return;
-  // A life that is not told may be another one once its entry went.
-  if (!model.listed && born === undefined) model.lives.delete(undefined);
-  const first = model.lives.size === 0 && !model.listed;
-  if (born !== model.born && !first) model.startedAgain = true;
+  // An unnamed incarnation may be another one after its entry was removed.
+  if (!model.listed && born === undefined) model.incarnations.delete(undefined);
+  const first = model.incarnations.size === 0 && !model.listed;
+  if (born !== model.born && !first) model.restarted = true;
   model.born = born;
   model.listed = true;
 };
 
-const entryGoes: Step = (directory, model) => {
+const entryIsRemoved: Step = (directory, model) => {
   directory.remove("s1", 0);
   model.listed = false;
 };
 
-/** News of any life, as peers hear of lives earlier or later. */
-const peerTells: Step = (directory, model, random) => {
+/** Reports work at any incarnation, as peers learn of incarnations earlier or later. */
+const peerReports: Step = (directory, model, random) => {
   const peer = PEERS[random.below(PEERS.length)] ?? "b";
   const running = random.below(6);
   const drawn = (model.born ?? 0) + random.below(3) - 1;
   const born = drawn <= 0 ? undefined : drawn;
   directory.heardPeer(peer, { s1: { running, unreadTokens: 0, born } }, 0);
   if (!model.listed) return;
-  const anyLife = born === undefined && !model.startedAgain;
-  const ofThisLife = anyLife || born === model.born;
-  model.life.peers.set(peer, ofThisLife ? running : 0);
+  const anyIncarnation = born === undefined && !model.restarted;
+  const ofThisIncarnation = anyIncarnation || born === model.born;
+  model.incarnation.peers.set(peer, ofThisIncarnation ? running : 0);
 };
 
-const runBegins: Step = (directory, model) => {
+const runStarts: Step = (directory, model) => {
   directory.get("s1")?.started(0);
-  if (model.listed) model.life.own += 1;
+  if (model.listed) model.incarnation.own += 1;
 };
 
 const sendFails: Step = (directory, model) => {
   directory.get("s1")?.failed(0, DOWN);
-  if (model.listed) model.life.failed = true;
+  if (model.listed) model.incarnation.failed = true;
 };
 
 const ALL_STEPS: readonly Step[] = [
-  entryComes,
-  entryComes,
-  entryGoes,
-  peerTells,
-  peerTells,
-  runBegins,
+  entryIsListed,
+  entryIsListed,
+  entryIsRemoved,
+  peerReports,
+  peerReports,
+  runStarts,
   sendFails,
 ];
 
-describe("any interleaving of entries, news and sends", () => {
-  test("shows of each life what was said of that life alone", () => {
+describe("any interleaving of entries, updates and sends", () => {
+  test("counts for each incarnation only the inputs about it", () => {
     for (let seed = 0; seed < SEEDS; seed += 1) {
       const random = seededRandom(seed);
       const directory = new ServerDirectory();
@@ -264,31 +263,34 @@
 
 function expectedOf(model: ServerModel): unknown {
   if (!model.listed) return undefined;
-  const { own, peers, failed } = model.life;
-  const told = [...peers.values()].reduce((sum, running) => sum + running, 0);
-  return { born: model.born, load: own + told, own, failed };
+  const { own, peers, failed } = model.incarnation;
+  const reported = [...peers.values()].reduce(
+    (sum, running) => sum + running,
+    0,
+  );
+  return { born: model.born, load: own + reported, own, failed };
 }
 
 describe("a server whose entry can't be read", () => {
-  test("is no server of its service, and is no reason to move runs", () => {
+  test("gets no requests, and does not make runs migrate", () => {
     const directory = new ServerDirectory();
-    const left: string[] = [];
-    directory.onLeaving(({ entry }) => left.push(entry.id));
+    const leavingIds: string[] = [];
+    directory.onLeaving(({ entry }) => leavingIds.push(entry.id));
     directory.put(ENTRY, 0);
     const record = directory.get("s1");
     record?.started(100);
     directory.unreadable("s1");
     expect(directory.of("models")).toEqual([]);
     expect(record?.isReady).toBe(false);
-    expect(record?.answersFor(0)).toBe(false);
-    // What runs there is still to be carried by someone.
+    expect(record?.isReachable(0)).toBe(false);
+    // Its work still counts as load of the service.
     expect(directory.load("models", 0)).toBe(1);
-    expect(left).toEqual([]);
+    expect(leavingIds).toEqual([]);
     directory.remove("s1", 0);
-    expect(left).toEqual(["s1"]);
+    expect(leavingIds).toEqual(["s1"]);
   });
 
-  test("is what it was once the entry is good again", () => {
+  test("has its former state once the entry can be read again", () => {
     const directory = new ServerDirectory();
     directory.put(ENTRY, 0);
     const record = directory.get("s1");
@@ -301,7 +303,7 @@
     expect(record?.failureShare).toBe(share);
   });
 
-  test("that nobody knew is nothing to know", () => {
+  test("is ignored if it was not listed before", () => {
     const directory = new ServerDirectory();
     directory.unreadable("s1");
     expect(directory.size).toBe(0);
@@ -311,7 +313,7 @@
 });
 
 describe("a server whose entry names another service", () => {
-  test("leaves the former one", () => {
+  test("is removed from its former service", () => {
     const directory = new ServerDirectory();
     directory.put(ENTRY, 0);
     directory.put({ ...ENTRY, service: "others" }, 0);
--- a/packages/rampswitch-serving/src/choice/server_record.ts
+++ b/packages/rampswitch-serving/src/choice/server_record.ts
@@ -1,82 +1,88 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What one host knows of one life of a backend server: its own work there, the
- * work that peers tell of, the server's own reports, and how its answers went. A
- * server that starts again has a new record, which takes over nothing.
+ * State of one incarnation of a backend server as one host observes it: the host's own
+ * work there, the work that peers report, the server's own load reports, and the
+ * outcomes of its answers. A restarted server gets a new record, which takes over
+ * nothing.
  *
  * @module
  */
 import { type BackendServer, nameOfLife } from "../model/backend_server.ts";
 import type { ReportedLoad } from "../model/request.ts";
-import { AskedRest } from "./server_back_off.ts";
+import { ServerBackOff } from "./server_back_off.ts";
 
 /** Work of one host at one backend server. */
 export interface WorkAtServer {
   readonly running: number;
-  /** Prompt tokens sent whose reading has not ended. */
+  /** Prompt tokens that were sent and whose prefill has not ended. */
   readonly unreadTokens: number;
 }
 
-/** Work of one host at one life of a backend server, as a peer tells it. */
+/** Work of one host at one incarnation of a backend server, as a peer reports it. */
 export interface ToldWork extends WorkAtServer {
-  /** Start of that life; `undefined` where the peer knows or tells none. */
+  /**
+   * Start of that incarnation, in milliseconds since the epoch; `undefined` if the peer
+   * does not know or report it.
+   */
   readonly born: number | undefined;
 }
 
-/** The parts of one send's work that end. */
+/** Callbacks for the progress of one send. */
 export interface StartedWork {
-  /** The server took the request and did not turn it away. */
+  /** The server accepted the request and did not turn it away. */
   taken(): void;
+  /** The prefill of the prompt has ended. */
   readPrompt(): void;
+  /** The request has ended at the server. */
   ended(): void;
 }
 
 interface PeerWork extends WorkAtServer {
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** Work told by a peer counts for this long, in milliseconds. */
-const PEER_WORK_MILLISECONDS = 1_500;
+/** Time for which work reported by a peer counts, in milliseconds. */
+const PEER_WORK_LIFETIME_MILLISECONDS = 1_500;
 
-/** A server's own load report counts for this long, in milliseconds. */
-const REPORT_MILLISECONDS = 300;
+/** Time for which a server's own load report counts, in milliseconds. */
+const LOAD_REPORT_LIFETIME_MILLISECONDS = 300;
 
-/** Failures in a row before a server is left out. */
+/** Consecutive failures that eject a server. */
 const FAILURES_TO_EJECT = 2;
 
-/** First time for which a failing server is left out, in milliseconds. */
+/** Length of the first ejection of a server, in milliseconds. */
 const FIRST_EJECTION_MILLISECONDS = 400;
 
-/** Longest time for which a failing server is left out, in milliseconds. */
-const LONGEST_EJECTION_MILLISECONDS = 3_000;
+/** Maximum length of an ejection, in milliseconds. */
+const MAXIMUM_EJECTION_MILLISECONDS = 3_000;
 
-/** Weight of the newest result in the share of failures. */
+/** Weight of the latest outcome in the moving average of failures. */
 const FAILURE_WEIGHT = 0.15;
 
 /**
- * A leaving server is taken to live for this long, in milliseconds; the shortest
+ * Time for which a leaving server is assumed to answer, in milliseconds. The shortest
  * announced reclaims left 2 s.
  */
-const ANSWERS_ON_MILLISECONDS = 1_500;
+const REACHABLE_AFTER_LEAVING_MILLISECONDS = 1_500;
 
-/** One life of a backend server as this host knows it. */
+/** One incarnation of a backend server as this host knows it. */
 export class ServerRecord {
-  /** As the platform last listed it. */
+  /** Latest entry that the platform listed. */
   entry: BackendServer;
   /**
-   * Whether its entry can be read. One that can't names no server to use, and
-   * tells nothing about the server itself.
+   * Whether its entry can be read. If not, the server gets no requests, but its state
+   * stays as it is.
    */
   isReadable = true;
-  /** Whether its entry says that it is ready, whatever the server itself says. */
+  /** Whether its entry says that it is ready, whatever the server itself advertises. */
   isListedReady = true;
-  /** The rest that it asked this host for. */
-  readonly rest: AskedRest;
-  /** When the announcement of its end came, on the steady clock. */
+  /** Back-off that the server requested from this host. */
+  readonly rest: ServerBackOff;
+  /** When its end was announced, in milliseconds on the monotonic clock. */
   leavingSince: number | undefined;
   #running = 0;
-  #unreadTokens = 0;
+  #pendingPrefillTokens = 0;
   readonly #peers = new Map<string, PeerWork>();
   #report: (ReportedLoad & { readonly at: number }) | undefined;
   #failuresInRow = 0;
@@ -84,138 +90,144 @@
   #ejectedUntil = 0;
   #failureShare = 0;
   #ended = false;
-  readonly #startedAgain: boolean;
+  readonly #restarted: boolean;
 
   constructor(
     entry: BackendServer,
     options: {
-      /** Whether this host knew a former life of the server. */
-      readonly startedAgain: boolean;
-      /** The rest of what may be the same life. */
-      readonly rest?: AskedRest;
-    } = { startedAgain: false },
+      /** Whether this host knew a former incarnation of the server. */
+      readonly restarted: boolean;
+      /** Back-off of a former record that may be of the same incarnation. */
+      readonly backOff?: ServerBackOff;
+    } = { restarted: false },
   ) {
     this.entry = entry;
-    this.rest = options.rest ?? new AskedRest();
-    this.#startedAgain = options.startedAgain;
+    this.rest = options.backOff ?? new ServerBackOff();
+    this.#restarted = options.restarted;
   }
 
-  /** Names this life among all lives of all servers. */
+  /** Name of this incarnation, unique among all incarnations of all servers. */
   get life(): string {
     return nameOfLife(this.entry);
   }
 
-  /** Whether a later life of the server is known, so that this one is over. */
+  /** Whether a later incarnation of the server is known, so this one has ended. */
   get ended(): boolean {
     return this.#ended;
   }
 
-  /** Notes that a later life of the server is known. */
+  /** Records that a later incarnation of the server is known. */
   end(): void {
     this.#ended = true;
     this.entry = { ...this.entry, state: "leaving" };
   }
 
   /**
-   * Whether what a peer tells of a life speaks of this one. A peer that names no
-   * life may mean any, so it is not heard where there was another one.
+   * Whether a report about the incarnation that started at `born` applies to this one.
+   * A report that names no incarnation may refer to any, so it is ignored if this host
+   * knew a former one.
    */
   isLife(born: number | undefined): boolean {
-    const mayBeAny = born === undefined && !this.#startedAgain;
+    const mayBeAny = born === undefined && !this.#restarted;
     return mayBeAny || born === this.entry.born;
   }
 
-  /** Requests of this host at the server. */
+  /** Number of requests of this host at the server. */
   get ownRunning(): number {
     return this.#running;
   }
 
-  /** This host's work at the server, to tell the peers. */
+  /** This host's work at the server, to report to peers. */
   get ownWork(): WorkAtServer {
-    return { running: this.#running, unreadTokens: this.#unreadTokens };
+    return { running: this.#running, unreadTokens: this.#pendingPrefillTokens };
   }
 
-  /** Share of recent requests that failed there, 0 to 1. */
+  /** Moving average of the share of failed requests, 0 to 1. */
   get failureShare(): number {
     return this.#failureShare;
   }
 
-  /** Notes a send; the returned functions end its parts, each once. */
-  started(unreadTokens: number): StartedWork {
-    const afterRest = this.rest.sent(this.entry.slots);
+  /**
+   * Records a send and returns callbacks for its progress; repeated calls have no
+   * effect.
+   */
+  started(prefillTokens: number): StartedWork {
+    const afterBackOff = this.rest.sent(this.entry.slots);
     this.#running += 1;
-    this.#unreadTokens += unreadTokens;
-    let unread = unreadTokens;
+    this.#pendingPrefillTokens += prefillTokens;
+    let pendingTokens = prefillTokens;
     let running = 1;
-    const readPrompt = () => {
-      this.#unreadTokens -= unread;
-      unread = 0;
+    const prefillEnded = () => {
+      this.#pendingPrefillTokens -= pendingTokens;
+      pendingTokens = 0;
     };
     return {
-      readPrompt,
-      taken: () => afterRest.taken(),
+      readPrompt: prefillEnded,
+      taken: () => afterBackOff.requestAccepted(),
       ended: () => {
-        afterRest.ended();
-        readPrompt();
+        afterBackOff.ended();
+        prefillEnded();
         this.#running -= running;
         running = 0;
       },
     };
   }
 
-  /** Takes in a peer's work at the server; `undefined` for none. */
+  /** Applies an update of a peer's work at the server; `undefined` if it has none. */
   heardPeer(peer: string, work: WorkAtServer | undefined, now: number): void {
     if (work === undefined) this.#peers.delete(peer);
-    else this.#peers.set(peer, { ...work, heardAt: now });
+    else this.#peers.set(peer, { ...work, receivedAt: now });
   }
 
-  /** Work of all hosts but one. */
-  workBeside(peer: string, now: number): WorkAtServer {
-    const told = this.#peers.get(peer);
-    const fresh = told !== undefined && isFresh(told, now) ? told : NO_WORK;
+  /** Returns the work of all hosts but one. */
+  workExcept(peer: string, now: number): WorkAtServer {
+    const peerWork = this.#peers.get(peer);
+    const fresh =
+      peerWork !== undefined && isFresh(peerWork, now) ? peerWork : NO_WORK;
     return {
-      running: Math.max(0, this.#toldRunning(now) - fresh.running),
+      running: Math.max(0, this.#reportedRunning(now) - fresh.running),
       unreadTokens: Math.max(0, this.unreadTokens(now) - fresh.unreadTokens),
     };
   }
 
-  /** Takes in the server's own report of its load. */
+  /** Applies the server's own report of its load. */
   reported(load: ReportedLoad, now: number): void {
     this.#report = { ...load, at: now };
   }
 
-  /** Requests running and waiting there, from all hosts. */
+  /** Returns the number of requests that run and wait there, from all hosts. */
   load(now: number): number {
-    const told = this.#toldRunning(now);
+    const reported = this.#reportedRunning(now);
     const report = this.#report;
-    return report !== undefined && now - report.at < REPORT_MILLISECONDS
-      ? Math.max(told, report.running + report.waiting)
-      : told;
+    return report !== undefined &&
+      now - report.at < LOAD_REPORT_LIFETIME_MILLISECONDS
+      ? Math.max(reported, report.running + report.waiting)
+      : reported;
   }
 
-  /** Prompt tokens that wait to be read there, from all hosts. */
+  /** Returns the prompt tokens whose prefill is pending there, from all hosts. */
   unreadTokens(now: number): number {
     return this.#peerWork(now).reduce(
       (sum, work) => sum + work.unreadTokens,
-      this.#unreadTokens,
+      this.#pendingPrefillTokens,
     );
   }
 
-  /** Notes an answer that came as it should. */
+  /** Records a successful answer. */
   succeeded(): void {
     this.#failuresInRow = 0;
     this.#ejections = 0;
     this.#failureShare *= 1 - FAILURE_WEIGHT;
   }
 
-  /** Notes a rejection; with places free it counts as a failure. */
+  /** Records a rejection; it counts as a failure if the server has free slots. */
   rejected(now: number): void {
     if (this.load(now) < this.entry.slots) {
       this.failed(now, { surelyDown: false });
     }
   }
 
-  /** Notes a failure; several in a row leave the server out for a while. */
+  /** Records a failure. Consecutive failures eject the server for some time. */
   failed(now: number, options: { readonly surelyDown: boolean }): void {
     this.#failureShare += FAILURE_WEIGHT * (1 - this.#failureShare);
     this.#failuresInRow += options.surelyDown ? FAILURES_TO_EJECT : 1;
@@ -224,34 +236,34 @@
     this.#ejectedUntil =
       now +
       Math.min(
-        LONGEST_EJECTION_MILLISECONDS,
+        MAXIMUM_EJECTION_MILLISECONDS,
         FIRST_EJECTION_MILLISECONDS * 2 ** this.#ejections,
       );
     this.#ejections += 1;
   }
 
-  /** Whether the server itself takes new work. */
+  /** Whether the server accepts new work. */
   get isReady(): boolean {
     return this.isReadable && this.entry.state === "ready";
   }
 
-  /** Whether the server still answers others: it is ready or left just now. */
-  answersFor(now: number): boolean {
+  /** Whether the server probably still answers: it is ready or began to leave recently. */
+  isReachable(now: number): boolean {
     const { leavingSince } = this;
     return (
       this.isReady ||
       (this.isReadable &&
         leavingSince !== undefined &&
-        now - leavingSince < ANSWERS_ON_MILLISECONDS)
+        now - leavingSince < REACHABLE_AFTER_LEAVING_MILLISECONDS)
     );
   }
 
-  /** Whether it is left out for a while after failures. */
+  /** Whether the server is ejected after failures. */
   isEjected(now: number): boolean {
     return now < this.#ejectedUntil;
   }
 
-  #toldRunning(now: number): number {
+  #reportedRunning(now: number): number {
     return this.#peerWork(now).reduce(
       (sum, work) => sum + work.running,
       this.#running,
@@ -266,5 +278,5 @@
 const NO_WORK: WorkAtServer = { running: 0, unreadTokens: 0 };
 
 function isFresh(work: PeerWork, now: number): boolean {
-  return now - work.heardAt < PEER_WORK_MILLISECONDS;
+  return now - work.receivedAt < PEER_WORK_LIFETIME_MILLISECONDS;
 }
--- a/packages/rampswitch-serving/src/choice/slot_admission.ts
+++ b/packages/rampswitch-serving/src/choice/slot_admission.ts
@@ -1,104 +1,110 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which share of the requests a service's engines can take while all hosts act on
- * news that is some hundred milliseconds old. Near their limits few engines seem to
- * have a place left, and all hosts would send everything there until the next news.
- * Pure.
+ * Share of the requests that a service's engines can take while all hosts act on
+ * updates that are some hundred milliseconds old. Near the capacity limit only few
+ * engines seem to have a free slot, and all hosts would send every request there until
+ * the next update. Pure.
  *
  * @module
  */
 
-/** Part of the target that a request may wait for a place. */
-const WAITING_PART = 0.25;
+/** Maximum wait for a slot, as a share of the request's target. */
+const MAXIMUM_WAIT_SHARE = 0.25;
 
-/** Places of one server as this host knows them. */
-export interface ServerPlaces {
+/** Slots of one server as this host knows them. */
+export interface ServerSlots {
   readonly slots: number;
   /** Requests that run and wait there. */
   readonly load: number;
 }
 
-/** Places of all servers of a service together. */
-export interface PlaceTotals {
+/** Slots of all servers of a service together. */
+export interface SlotTotals {
   readonly slots: number;
   readonly load: number;
-  /** Requests that run, where no more do than servers have places. */
+  /** Requests that run; at each server at most as many as it has slots. */
   readonly running: number;
 }
 
-/** Most requests at a server that are believed, as a multiple of its slots. */
-const MOST_LOAD = 2;
+/** Maximum load of one server that counts, as a multiple of its slots. */
+const MAXIMUM_LOAD_RATIO = 2;
 
-/** How long totals are used, in milliseconds; a part of the time between news. */
-const KEPT_MILLISECONDS = 100;
+/** Time for which totals are cached, in milliseconds; shorter than between updates. */
+const CACHE_LIFETIME_MILLISECONDS = 100;
 
-/** What the share depends on. */
-export interface PlaceDemand {
-  /** Requests for the service, of all hosts, in a millisecond. */
+/** Demand for the slots of a service. */
+export interface SlotDemand {
+  /** Requests for the service per millisecond, from all hosts. */
   readonly arrivalsPerMillisecond: number;
-  /** Time for which a request holds a place, in milliseconds. */
+  /** Time for which a request holds a slot, in milliseconds. */
   readonly holdMilliseconds: number;
-  /** Time to the first part of the answer that is wanted, in milliseconds. */
+  /** Target time to the first part of the answer, in milliseconds. */
   readonly targetMilliseconds: number;
-  /** Age of what this host knows of the others' work, in milliseconds. */
+  /** Age of the latest updates about the work of other hosts, in milliseconds. */
   readonly lagMilliseconds: number;
 }
 
-/** Adds up the places of some servers; no single one's word counts for more than it. */
-export function placeTotals(servers: readonly ServerPlaces[]): PlaceTotals {
-  return servers.reduce<PlaceTotals>(
+/**
+ * Adds up the slots of servers. The load of each is bounded, so that one server with a
+ * false report can't make hosts refuse requests.
+ */
+export function slotTotals(servers: readonly ServerSlots[]): SlotTotals {
+  return servers.reduce<SlotTotals>(
     (sum, { slots, load }) => {
-      const told = Math.min(Math.max(load, 0), MOST_LOAD * slots);
+      const boundedLoad = Math.min(
+        Math.max(load, 0),
+        MAXIMUM_LOAD_RATIO * slots,
+      );
       return {
         slots: sum.slots + slots,
-        load: sum.load + told,
-        running: sum.running + Math.min(slots, told),
+        load: sum.load + boundedLoad,
+        running: sum.running + Math.min(slots, boundedLoad),
       };
     },
     { slots: 0, load: 0, running: 0 },
   );
 }
 
-/** Totals by service, so that not each request adds up all servers. */
+/** Caches totals by service, so that not every request adds up all servers. */
 export class KnownPlaces {
   readonly #totals = new Map<
     string,
-    { readonly at: number; readonly totals: PlaceTotals }
+    { readonly at: number; readonly totals: SlotTotals }
   >();
 
-  /** Totals of a service; `servers` are read when the known ones are old. */
+  /** Returns the totals of a service; calls `servers` only if the cached ones expired. */
   of(
     service: string,
     now: number,
-    servers: () => readonly ServerPlaces[],
-  ): PlaceTotals {
-    const known = this.#totals.get(service);
-    if (known !== undefined && now - known.at < KEPT_MILLISECONDS) {
-      return known.totals;
+    servers: () => readonly ServerSlots[],
+  ): SlotTotals {
+    const cached = this.#totals.get(service);
+    if (cached !== undefined && now - cached.at < CACHE_LIFETIME_MILLISECONDS) {
+      return cached.totals;
     }
-    const totals = placeTotals(servers());
+    const totals = slotTotals(servers());
     this.#totals.set(service, { at: now, totals });
     return totals;
   }
 }
 
 /**
- * Share of the requests to take, 0 to 1: those that get a place, or wait for one no
- * longer than a part of their target. A longer queue makes all late, and ends none of
- * them sooner.
+ * Returns the share of the requests to accept, 0 to 1: those that get a slot at once
+ * or wait for one no longer than a share of their target. A longer queue would delay
+ * all requests and complete none of them sooner.
  */
 export function shareWithPlaces(
-  { slots, load, running }: PlaceTotals,
-  demand: PlaceDemand,
+  { slots, load, running }: SlotTotals,
+  demand: SlotDemand,
 ): number {
   const { arrivalsPerMillisecond, holdMilliseconds, lagMilliseconds } = demand;
   const expected = arrivalsPerMillisecond * lagMilliseconds;
-  // Without any server, the choice tells what is missing.
+  // Without servers, all requests pass and the choice returns the precise reason.
   if (expected <= 0 || slots === 0) return 1;
-  const waitingShare =
-    (demand.targetMilliseconds * WAITING_PART) / holdMilliseconds;
-  const free = slots * (1 + waitingShare) - load;
-  const freed = (running * lagMilliseconds) / holdMilliseconds;
-  return Math.min(1, Math.max(0, (free + freed) / expected));
+  const queueShare =
+    (demand.targetMilliseconds * MAXIMUM_WAIT_SHARE) / holdMilliseconds;
+  const freeSlots = slots * (1 + queueShare) - load;
+  const freedSlots = (running * lagMilliseconds) / holdMilliseconds;
+  return Math.min(1, Math.max(0, (freeSlots + freedSlots) / expected));
 }
--- a/packages/rampswitch-serving/src/choice/slot_admission_test.ts
+++ b/packages/rampswitch-serving/src/choice/slot_admission_test.ts
@@ -4,12 +4,12 @@
 import fc from "fast-check";
 import {
   KnownPlaces,
-  type PlaceDemand,
-  placeTotals,
+  type SlotDemand,
+  slotTotals,
   shareWithPlaces,
 } from "./slot_admission.ts";
 
-const DEMAND: PlaceDemand = {
+const DEMAND: SlotDemand = {
   arrivalsPerMillisecond: 0.26,
   holdMilliseconds: 1_200,
   targetMilliseconds: 600,
@@ -17,25 +17,25 @@
 };
 
 function fleet(engines: number, load: number) {
-  return placeTotals(
+  return slotTotals(
     Array.from({ length: engines }, () => ({ slots: 12, load })),
   );
 }
 
-describe("share of the requests with places", () => {
-  test("takes all while places are free, or get free in time", () => {
+describe("share of the requests that are accepted", () => {
+  test("is 1 while slots are free or become free in time", () => {
     expect(shareWithPlaces(fleet(44, 7), DEMAND)).toBe(1);
     expect(shareWithPlaces(fleet(44, 12), DEMAND)).toBe(1);
   });
 
-  test("takes what full engines get done", () => {
+  test("is what full engines can complete", () => {
     const share = shareWithPlaces(fleet(20, 13.5), DEMAND);
-    // 200 requests of 312 that come in 1.2 s end in that time.
+    // 200 of the 312 requests that arrive in 1.2 s complete in that time.
     expect(share).toBeGreaterThan(0.5);
     expect(share).toBeLessThan(0.8);
   });
 
-  test("takes less the longer the queue is, and nothing in the end", () => {
+  test("falls with the length of the queue, down to 0", () => {
     const shares = [12, 16, 20, 30].map((load) =>
       shareWithPlaces(fleet(20, load), DEMAND),
     );
@@ -43,7 +43,7 @@
     expect(shares.at(-1)).toBe(0);
   });
 
-  test("is a share whatever servers and peers tell", () => {
+  test("is between 0 and 1 whatever servers and peers report", () => {
     const number = fc.double({ min: 0, max: 1e9, noNaN: true });
     fc.assert(
       fc.property(
@@ -61,7 +61,7 @@
           lagMilliseconds: number,
         }),
         (servers, demand) => {
-          const share = shareWithPlaces(placeTotals(servers), demand);
+          const share = shareWithPlaces(slotTotals(servers), demand);
           expect(share).toBeGreaterThanOrEqual(0);
           expect(share).toBeLessThanOrEqual(1);
         },
@@ -69,29 +69,29 @@
     );
   });
 
-  test("lets no single server's word turn callers away", () => {
+  test("is not lowered by the false report of a single server", () => {
     const lying = { slots: 12, load: 1e9 };
     const servers = Array.from({ length: 20 }, () => ({ slots: 12, load: 6 }));
-    expect(shareWithPlaces(placeTotals([...servers, lying]), DEMAND)).toBe(1);
+    expect(shareWithPlaces(slotTotals([...servers, lying]), DEMAND)).toBe(1);
   });
 
-  test("leaves it to the choice where there are no servers", () => {
-    expect(shareWithPlaces(placeTotals([]), DEMAND)).toBe(1);
+  test("is 1 without servers, so that the choice gives the reason", () => {
+    expect(shareWithPlaces(slotTotals([]), DEMAND)).toBe(1);
   });
 });
 
-describe("known places", () => {
-  test("are added up ten times a second at most", () => {
-    const places = new KnownPlaces();
+describe("cached slot totals", () => {
+  test("are computed at most ten times per second", () => {
+    const cache = new KnownPlaces();
     let reads = 0;
     const servers = () => {
       reads += 1;
       return [{ slots: 12, load: reads }];
     };
     const loads = [0, 50, 99, 100, 150].map(
-      (now) => places.of("models", now, servers).load,
+      (now) => cache.of("models", now, servers).load,
     );
     expect(loads).toEqual([1, 1, 1, 2, 2]);
-    expect(places.of("other", 150, servers).load).toBe(3);
+    expect(cache.of("other", 150, servers).load).toBe(3);
   });
 });
--- a/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Servers that turn a host away and ask it for a rest: nothing is sent there to its
- * end, and the hosts that were asked return one after the other.
+ * Back-offs that servers request when they turn a host away. The host sends nothing
+ * there until the back-off ends. Hosts then return at random times, spread over an
+ * interval.
  *
  * @module
  */
@@ -10,18 +11,19 @@
 import type { ServerRecord } from "../choice/mod.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
-/** What the return of many hosts to one server depends on. */
+/** Inputs of the interval over which hosts return to a server. */
 export interface ReturnInputs {
-  /** Hosts of the system, all of which may have been asked. */
+  /** Hosts of the system; the server may have turned all of them away. */
   readonly hosts: number;
-  /** Time for which a request holds a place, in milliseconds. */
+  /** Time for which a request holds a slot, in milliseconds. */
   readonly holdMilliseconds: number;
+  /** Slots of the server. */
   readonly slots: number;
 }
 
 /**
- * Time over which hosts return to a server after a rest, in milliseconds: in which it
- * can serve a request of each.
+ * Returns the interval over which hosts return to a server after a back-off, in
+ * milliseconds. The server can serve one request of each host in it.
  */
 export function returnMilliseconds({
   hosts,
@@ -31,28 +33,32 @@
   return (hosts * holdMilliseconds) / slots;
 }
 
-/** What rests are taken in with. */
-export interface RestStatementsParts {
-  /** A steady clock. */
+/** Dependencies of the handler of requested back-offs. */
+export interface BackOffAdvertisementsParts {
+  /** Monotonic clock, in milliseconds. */
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  /** Hosts of the system that may be serving. */
+  /** Returns the number of hosts of the system that may be serving. */
   hosts(): number;
-  /** Time for which a request of a service holds a place, in milliseconds. */
+  /** Returns the time for which a service's request holds a slot, in milliseconds. */
   holdMilliseconds(service: string): number;
 }
 
-/** Takes in that servers ask this host for a rest. */
+/** Applies and logs the back-offs that servers request from this host. */
 export class RestStatements {
-  readonly #parts: RestStatementsParts;
+  readonly #parts: BackOffAdvertisementsParts;
 
-  constructor(parts: RestStatementsParts) {
+  constructor(parts: BackOffAdvertisementsParts) {
     this.#parts = parts;
   }
 
-  /** A server turned a request away and asks for so long a rest. */
+  /**
+   * Applies the back-off of a server that turned a request away.
+   *
+   * @param milliseconds requested length
+   */
   read({ entry, rest }: ServerRecord, milliseconds: number): void {
     const { clock, random, logger, metrics } = this.#parts;
     const within = returnMilliseconds({
@@ -60,14 +66,14 @@
       holdMilliseconds: this.#parts.holdMilliseconds(entry.service),
       slots: entry.slots,
     });
-    const returnsAfter = within * random.next();
-    rest.asked({ now: clock.now(), milliseconds, returnsAfter });
+    const returnDelay = within * random.next();
+    rest.asked({ now: clock.now(), milliseconds, returnsAfter: returnDelay });
     metrics.event("server_asked_rest");
     logger.info("server asks for a rest", {
       server: entry.id,
       born: entry.born,
       milliseconds: Math.round(milliseconds),
-      returnsAfterMilliseconds: Math.round(returnsAfter),
+      returnsAfterMilliseconds: Math.round(returnDelay),
     });
   }
 }
--- a/packages/rampswitch-serving/src/statements/engine_report.ts
+++ b/packages/rampswitch-serving/src/statements/engine_report.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Engines' own reports, which say of their servers what answers to requests do.
+ * Reports of engines, which advertise the same state of their servers as answers to
+ * requests do.
  *
  * @module
  */
@@ -10,8 +11,9 @@
 import type { StatementReader } from "./server_advertisements.ts";
 
 /**
- * The report of whoever answers at a server's address, if anybody does; what it says
- * of itself is taken in where it is this life of the server.
+ * Requests the report of the engine at a server's address; `undefined` if nothing
+ * answers. Its advertised state is applied only if the report names the incarnation
+ * of the record, since another process may listen at the address by now.
  */
 export async function toldReport(
   record: ServerRecord,
@@ -21,8 +23,8 @@
   },
 ): Promise<EngineReport | undefined> {
   const report = await parts.engineControl.report(record.entry.address);
-  const tellsLife = report?.born !== undefined;
-  if (tellsLife && record.isLife(report.born)) {
+  const namesIncarnation = report?.born !== undefined;
+  if (namesIncarnation && record.isLife(report.born)) {
     parts.statements.read(record, report.says, { isLate: true });
   }
   return report;
--- a/packages/rampswitch-serving/src/statements/leaving_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/leaving_advertisements.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Servers that say themselves that they leave: heard in answers and of other hosts,
- * and told to those.
+ * Advertisements of servers that they leave: received in answers and from other hosts,
+ * and reported to other hosts.
  *
  * @module
  */
@@ -15,56 +15,70 @@
 import type { ServerLife } from "../model/backend_server.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
-/** What such statements are taken in with. */
-export interface LeavingStatementsParts {
-  /** A steady clock. */
+/** Dependencies of the handler of leaving servers. */
+export interface LeavingAdvertisementsParts {
+  /** Monotonic clock, in milliseconds. */
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
   readonly directory: ServerDirectory;
-  /** Something is new that the other hosts should hear at once. */
+  /** Called when there is an update that other hosts should receive at once. */
   onNews(): void;
 }
 
-/** Takes in that servers leave by their own word. */
+/** Records, logs and reports servers that advertise that they leave. */
 export class LeavingStatements {
-  readonly #parts: LeavingStatementsParts;
+  readonly #parts: LeavingAdvertisementsParts;
 
-  constructor(parts: LeavingStatementsParts) {
+  constructor(parts: LeavingAdvertisementsParts) {
     this.#parts = parts;
   }
 
-  /** An answer of a server said so. */
+  /** Applies the advertisement of a server that leaves, from its answer. */
   read({ entry }: ServerRecord): void {
     const { clock, directory } = this.#parts;
     const now = clock.now();
-    const statement = { since: now, now, origin: "answer" as const };
-    if (!directory.saidLeaving(entry, statement)) return;
-    this.#tell(entry, { from: "answer", age: 0 });
+    const advertised = { since: now, now, origin: "answer" as const };
+    if (!directory.advertisedLeaving(entry, advertised)) return;
+    this.#log(entry, { from: "answer", age: 0 });
     this.#parts.onNews();
   }
 
-  /** Another host told of some, so many milliseconds ago. */
-  heard(lives: readonly LeavingNews[], age: number): void {
+  /**
+   * Applies a report of another host.
+   *
+   * @param age age of the report, in milliseconds
+   */
+  heard(incarnations: readonly LeavingNews[], age: number): void {
     const { clock, directory } = this.#parts;
     const now = clock.now();
-    lives
-      .map((life) => ({ life, since: now - age - life.age }))
-      .filter(({ life, since }) =>
-        directory.saidLeaving(life, { since, now, origin: "peer" }),
+    incarnations
+      .map((incarnation) => ({
+        incarnation,
+        since: now - age - incarnation.age,
+      }))
+      .filter(({ incarnation, since }) =>
+        directory.advertisedLeaving(incarnation, {
+          since,
+          now,
+          origin: "peer",
+        }),
       )
-      .forEach(({ life, since }) =>
-        this.#tell(life, { from: "peer", age: now - since }),
+      .forEach(({ incarnation, since }) =>
+        this.#log(incarnation, { from: "peer", age: now - since }),
       );
   }
 
-  /** What to tell other hosts; of what they told themselves, only if asked. */
+  /**
+   * Returns what to report to other hosts. With `ownOnly`, leaves out incarnations that
+   * other hosts reported.
+   */
   news(options: { readonly ownOnly: boolean }): readonly LeavingNews[] {
     const { clock, directory } = this.#parts;
-    return directory.leavingNews(clock.now(), options);
+    return directory.leavingUpdates(clock.now(), options);
   }
 
-  #tell(
+  #log(
     { id, born }: ServerLife,
     { from, age }: { readonly from: "answer" | "peer"; readonly age: number },
   ): void {
--- a/packages/rampswitch-serving/src/statements/server_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/server_advertisements.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What backend servers say of themselves in their answers, and who takes it in.
+ * Reads the state that backend servers advertise in their answers and passes it to
+ * handlers.
  *
  * @module
  */
@@ -10,81 +11,85 @@
 import type { ServerStatements, Statement } from "../model/request.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
-/** Name of a thing that servers say of themselves. */
-type StatementName = keyof ServerStatements;
+/** Name of one kind of advertisement. */
+type AdvertisementName = keyof ServerStatements;
 
-type ValueOf<Name extends StatementName> =
+type ValueOf<Name extends AdvertisementName> =
   ServerStatements[Name] extends Statement<infer Value> ? Value : never;
 
-/** What is done with one kind of statement. */
-interface StatementHandler<Value> {
-  /** Whether an answer to an earlier request tells it as well. */
+/** Handler of one kind of advertisement. */
+interface AdvertisementHandler<Value> {
+  /** Whether the advertisement also applies in an answer to an earlier request. */
   readonly holdsLate: boolean;
-  /** Takes in what an answer says; `undefined`: it says nothing of it. */
+  /** Applies the value in an answer; `undefined` if the answer has none. */
   take(record: ServerRecord, value: Value | undefined): void;
 }
 
-/** What is done with each kind. */
-export type StatementHandlers = {
-  readonly [Name in StatementName]: StatementHandler<ValueOf<Name>>;
+/** Handlers by kind of advertisement. */
+export type AdvertisementHandlers = {
+  readonly [Name in AdvertisementName]: AdvertisementHandler<ValueOf<Name>>;
 };
 
-/** What statements are read with. */
-export interface StatementParts {
+/** Dependencies of the reader. */
+export interface AdvertisementReaderParts {
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  readonly handlers: StatementHandlers;
+  readonly handlers: AdvertisementHandlers;
 }
 
-/** Statements that can't be read are told once for each server, of so many servers. */
-const MOST_UNREADABLE = 1_000;
+/**
+ * Maximum pairs of server and kind for which an unreadable advertisement is logged;
+ * each pair is logged once.
+ */
+const MAXIMUM_LOGGED_UNREADABLE = 1_000;
 
-/** Reads what servers say of themselves. */
+/** Reads the state that servers advertise. */
 export class StatementReader {
-  readonly #parts: StatementParts;
+  readonly #parts: AdvertisementReaderParts;
   readonly #unreadable = new Set<string>();
 
-  constructor(parts: StatementParts) {
+  constructor(parts: AdvertisementReaderParts) {
     this.#parts = parts;
   }
 
-  /** Takes in all that one answer of a server says. */
+  /** Passes all advertisements of one answer to their handlers. */
   read(
     record: ServerRecord,
-    says: ServerStatements,
+    advertised: ServerStatements,
     options: {
-      /** Whether the answer is to another request than the one that is waiting. */
+      /** Whether the answer belongs to another request than the waiting one. */
       readonly isLate: boolean;
     } = { isLate: false },
   ): void {
-    const names = Object.keys(says) as StatementName[];
+    const names = Object.keys(advertised) as AdvertisementName[];
     names
       .filter((name) => !options.isLate || this.#parts.handlers[name].holdsLate)
-      .forEach((name) => this.#readOne(name, record, says[name]));
+      .forEach((name) => this.#readOne(name, record, advertised[name]));
   }
 
   #readOne(
-    name: StatementName,
+    name: AdvertisementName,
     record: ServerRecord,
-    statement: Statement<unknown>,
+    advertisement: Statement<unknown>,
   ): void {
-    if (statement.kind === "unreadable") {
-      this.#tellUnreadable(name, record, statement.text);
+    if (advertisement.kind === "unreadable") {
+      this.#logUnreadable(name, record, advertisement.text);
       return;
     }
-    const value = statement.kind === "said" ? statement.value : undefined;
-    const handler = this.#parts.handlers[name] as StatementHandler<unknown>;
+    const value =
+      advertisement.kind === "said" ? advertisement.value : undefined;
+    const handler = this.#parts.handlers[name] as AdvertisementHandler<unknown>;
     handler.take(record, value);
   }
 
-  #tellUnreadable(
-    name: StatementName,
+  #logUnreadable(
+    name: AdvertisementName,
     { entry: { id, born } }: ServerRecord,
     text: string,
   ): void {
     this.#parts.metrics.event(`server_${name}_unreadable`);
     const key = `${name} ${id}`;
-    if (this.#unreadable.size >= MOST_UNREADABLE) return;
+    if (this.#unreadable.size >= MAXIMUM_LOGGED_UNREADABLE) return;
     if (this.#unreadable.has(key)) return;
     this.#unreadable.add(key);
     this.#parts.logger.info(`server ${name} can't be read`, {
--- a/packages/rampswitch-serving/src/statements/server_advertisements_test.ts
+++ b/packages/rampswitch-serving/src/statements/server_advertisements_test.ts
@@ -50,36 +50,38 @@
   return { reader, lines, taken };
 }
 
-function saying(says: Partial<ServerStatements>): ServerStatements {
-  return { ...SAYS_NOTHING, ...says };
+function advertising(advertised: Partial<ServerStatements>): ServerStatements {
+  return { ...SAYS_NOTHING, ...advertised };
 }
 
-describe("what an answer says of its server", () => {
-  test("goes to whoever takes it in, also that it says nothing", () => {
+describe("advertised state in an answer", () => {
+  test("goes to its handlers, also if the answer has none", () => {
     const { reader, taken } = reading();
-    reader.read(RECORD, saying({ limit: { kind: "said", value: 2 } }));
+    reader.read(RECORD, advertising({ limit: { kind: "said", value: 2 } }));
     expect(taken).toEqual([
       ["limit", 2],
       ["leaving", undefined],
     ]);
   });
 
-  test("changes nothing where it can't be read, and is told once", () => {
+  test("changes nothing if it can't be read, and is logged once", () => {
     const { reader, taken, lines } = reading();
-    const says = saying({ limit: { kind: "unreadable", text: "-1" } });
-    reader.read(RECORD, says);
-    reader.read(RECORD, says);
+    const advertised = advertising({
+      limit: { kind: "unreadable", text: "-1" },
+    });
+    reader.read(RECORD, advertised);
+    reader.read(RECORD, advertised);
     expect(taken.filter(([name]) => name === "limit")).toEqual([]);
     expect(lines).toEqual(["server limit can't be read: -1"]);
   });
 
-  test("holds of an earlier request's answer as far as it is final", () => {
+  test("applies in an earlier request's answer only if it is final", () => {
     const { reader, taken } = reading();
-    const says = saying({
+    const advertised = advertising({
       limit: { kind: "said", value: 2 },
       leaving: { kind: "said", value: true },
     });
-    reader.read(RECORD, says, { isLate: true });
+    reader.read(RECORD, advertised, { isLate: true });
     expect(taken).toEqual([["leaving", true]]);
   });
 });
--- a/packages/rampswitch-serving/src/statements/statements_standin.ts
+++ b/packages/rampswitch-serving/src/statements/statements_standin.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Statements of servers for tests that are about something else.
+ * Advertised state of servers for tests that do not depend on it.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import { ServingMetrics } from "../observation/mod.ts";
 import { StatementReader } from "./server_advertisements.ts";
 
-/** An answer that says nothing of its server. */
+/** The state of an answer that advertises nothing. */
 export const SAYS_NOTHING: ServerStatements = {
   limit: { kind: "nothing" },
   leaving: { kind: "nothing" },
   rest: { kind: "nothing" },
 };
 
-/** A reader that nobody listens to. */
+/** Creates a reader whose handlers ignore all advertisements. */
 export function silentStatements(): StatementReader {
-  const passedOver = { holdsLate: false, take: () => undefined };
+  const ignored = { holdsLate: false, take: () => undefined };
   return new StatementReader({
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
-    handlers: { limit: passedOver, leaving: passedOver, rest: passedOver },
+    handlers: { limit: ignored, leaving: ignored, rest: ignored },
   });
 }
