--- a/packages/rampswitch-serving/src/choice/choose_server_test.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server_test.ts
@@ -98,8 +98,8 @@
     const prefixes = new PrefixKnowledge();
     // This host sent a prompt with the same first part elsewhere.
     prefixes.stored(other!.entry.id, parts.slice(0, 1), 500_000);
-    const unheard = { parts, hearsDispatches: false };
-    expect(chosen(records, { prefixes, inputs: unheard })).toBe(home);
+    const withoutDispatches = { parts, hearsDispatches: false };
+    expect(chosen(records, { prefixes, inputs: withoutDispatches })).toBe(home);
     expect(chosen(records, { prefixes, inputs: { parts } })).toBe(
       other!.entry.id,
     );
@@ -145,10 +145,10 @@
       readonly records: readonly ServerRecord[];
       readonly prefixes: PrefixKnowledge;
     } {
-      const cachingServer = server("keeper");
+      const cachingServer = server("caching");
       cachingServer.started(20_000);
       const prefixes = new PrefixKnowledge();
-      prefixes.stored("keeper", PARTS.slice(0, 2), 500_000);
+      prefixes.stored("caching", PARTS.slice(0, 2), 500_000);
       return {
         cachingServer,
         records: [cachingServer, server("idle")],
@@ -172,7 +172,7 @@
 
     test("come from the engine that has them cached, and need no prefill", () => {
       expect(copyOf(busyCachingServer())).toEqual({
-        from: "keeper",
+        from: "caching",
         cachedTokens: 6_500,
       });
     });
@@ -184,7 +184,7 @@
         state: "leaving",
       };
       setUp.cachingServer.leavingSince = INPUTS.now - 1_000;
-      expect(copyOf(setUp).from).toBe("keeper");
+      expect(copyOf(setUp).from).toBe("caching");
       setUp.cachingServer.leavingSince = INPUTS.now - 2_000;
       expect(copyOf(setUp)).toEqual({ from: undefined, cachedTokens: 0 });
     });
--- a/packages/rampswitch-serving/src/choice/prefix_copy.ts
+++ b/packages/rampswitch-serving/src/choice/prefix_copy.ts
@@ -72,18 +72,22 @@
   cachedTokens: number,
   inputs: CopyInputs & { readonly copySource: CopySource | undefined },
 ): CopyPlan {
-  const { copySource: keeper, engine, readingRate } = inputs;
+  const { copySource, engine, readingRate } = inputs;
   const rate = engine?.copyTokensPerMillisecond;
-  if (keeper === undefined || keeper.record === record || rate === undefined) {
+  if (
+    copySource === undefined ||
+    copySource.record === record ||
+    rate === undefined
+  ) {
     return NO_COPY;
   }
-  const tokens = keeper.tokens - cachedTokens;
+  const tokens = copySource.tokens - cachedTokens;
   const isOtherDataHall =
-    keeper.record.entry.dataHall !== record.entry.dataHall;
+    copySource.record.entry.dataHall !== record.entry.dataHall;
   const milliseconds =
     COPY_SETUP_MILLISECONDS +
     (tokens / rate) * (isOtherDataHall ? OTHER_DATA_HALL_COPY_FACTOR : 1);
   return milliseconds < tokens / readingRate
-    ? { from: keeper.record, tokens, milliseconds }
+    ? { from: copySource.record, tokens, milliseconds }
     : NO_COPY;
 }
--- a/packages/rampswitch-serving/src/choice/server_directory.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory.ts
@@ -134,7 +134,7 @@
   ): readonly LeavingNews[] {
     return this.#leavingIncarnations.updates(now, {
       ownOnly,
-      // While the entry still says "ready", hosts don't learn it from the store.
+      // While the entry still says "ready", other hosts can't read this in the store.
       isStillNeeded: ({ id }) => this.#records.get(id)?.isListedReady === true,
     });
   }
--- a/packages/rampswitch-serving/src/choice/server_directory_test.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory_test.ts
@@ -203,7 +203,7 @@
   model.listed = false;
 };
 
-/** Reports work at any incarnation, as peers learn of incarnations earlier or later. */
+/** Reports work at any incarnation, as peers receive new ones earlier or later. */
 const peerReports: Step = (directory, model, random) => {
   const peer = PEERS[random.below(PEERS.length)] ?? "b";
   const running = random.below(6);
--- a/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
@@ -61,12 +61,12 @@
    */
   read({ entry, rest }: ServerRecord, milliseconds: number): void {
     const { clock, random, logger, metrics } = this.#parts;
-    const within = returnMilliseconds({
+    const spreadMilliseconds = returnMilliseconds({
       hosts: this.#parts.hosts(),
       holdMilliseconds: this.#parts.holdMilliseconds(entry.service),
       slots: entry.slots,
     });
-    const returnDelay = within * random.next();
+    const returnDelay = spreadMilliseconds * random.next();
     rest.asked({ now: clock.now(), milliseconds, returnsAfter: returnDelay });
     metrics.event("server_asked_rest");
     logger.info("server asks for a rest", {
