--- a/packages/rampswitch-serving/src/choice/server_record.ts
+++ b/packages/rampswitch-serving/src/choice/server_record.ts
@@ -157,16 +157,16 @@
     this.#pendingPrefillTokens += prefillTokens;
     let pendingTokens = prefillTokens;
     let running = 1;
-    const prefillEnded = () => {
+    const endPrefill = () => {
       this.#pendingPrefillTokens -= pendingTokens;
       pendingTokens = 0;
     };
     return {
-      readPrompt: prefillEnded,
+      readPrompt: endPrefill,
       taken: () => afterBackOff.requestAccepted(),
       ended: () => {
         afterBackOff.ended();
-        prefillEnded();
+        endPrefill();
         this.#running -= running;
         running = 0;
       },
--- a/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
@@ -66,14 +66,18 @@
       holdMilliseconds: this.#parts.holdMilliseconds(entry.service),
       slots: entry.slots,
     });
-    const returnDelay = spreadMilliseconds * random.next();
-    rest.asked({ now: clock.now(), milliseconds, returnsAfter: returnDelay });
+    const delayMilliseconds = spreadMilliseconds * random.next();
+    rest.asked({
+      now: clock.now(),
+      milliseconds,
+      returnsAfter: delayMilliseconds,
+    });
     metrics.event("server_asked_rest");
     logger.info("server asks for a rest", {
       server: entry.id,
       born: entry.born,
       milliseconds: Math.round(milliseconds),
-      returnsAfterMilliseconds: Math.round(returnDelay),
+      returnsAfterMilliseconds: Math.round(delayMilliseconds),
     });
   }
 }
