--- a/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
@@ -66,18 +66,18 @@
       holdMilliseconds: this.#parts.holdMilliseconds(entry.service),
       slots: entry.slots,
     });
-    const delayMilliseconds = spreadMilliseconds * random.next();
+    const returnDelayMilliseconds = spreadMilliseconds * random.next();
     rest.asked({
       now: clock.now(),
       milliseconds,
-      returnsAfter: delayMilliseconds,
+      returnsAfter: returnDelayMilliseconds,
     });
     metrics.event("server_asked_rest");
     logger.info("server asks for a rest", {
       server: entry.id,
       born: entry.born,
       milliseconds: Math.round(milliseconds),
-      returnsAfterMilliseconds: Math.round(delayMilliseconds),
+      returnsAfterMilliseconds: Math.round(returnDelayMilliseconds),
     });
   }
 }
