--- a/packages/rampswitch-serving/src/choice/choose_server_test.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server_test.ts
@@ -145,10 +145,10 @@
       readonly records: readonly ServerRecord[];
       readonly prefixes: PrefixKnowledge;
     } {
-      const cachingServer = server("caching");
+      const cachingServer = server("keeper");
       cachingServer.started(20_000);
       const prefixes = new PrefixKnowledge();
-      prefixes.stored("caching", PARTS.slice(0, 2), 500_000);
+      prefixes.stored("keeper", PARTS.slice(0, 2), 500_000);
       return {
         cachingServer,
         records: [cachingServer, server("idle")],
@@ -172,7 +172,7 @@
 
     test("come from the engine that has them cached, and need no prefill", () => {
       expect(copyOf(busyCachingServer())).toEqual({
-        from: "caching",
+        from: "keeper",
         cachedTokens: 6_500,
       });
     });
@@ -184,7 +184,7 @@
         state: "leaving",
       };
       setUp.cachingServer.leavingSince = INPUTS.now - 1_000;
-      expect(copyOf(setUp).from).toBe("caching");
+      expect(copyOf(setUp).from).toBe("keeper");
       setUp.cachingServer.leavingSince = INPUTS.now - 2_000;
       expect(copyOf(setUp)).toEqual({ from: undefined, cachedTokens: 0 });
     });
