--- a/packages/rampswitch-serving/src/quarantine/quarantine.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine.ts
@@ -23,7 +23,7 @@
   tried,
   trialDueAt,
 } from "./quarantine_entry.ts";
-import { SilentLosses } from "./silent_losses.ts";
+import { SilentLosses } from "./unconfirmed_losses.ts";
 
 /** Whether a request may be sent to a server. */
 export type QuarantineDecision =
--- a/packages/rampswitch-serving/src/server_limits/limit_book_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/limit_table_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, test } from "@jest/globals";
 import { SILENT_LOGGER } from "rampswitch-utils";
 import { ServingMetrics } from "../observation/mod.ts";
-import { LimitBook } from "./limit_book.ts";
+import { LimitBook } from "./limit_table.ts";
 
 const LIFE = { id: "s1", born: 7 };
 
--- a/packages/rampswitch-serving/src/server_limits/mod.ts
+++ b/packages/rampswitch-serving/src/server_limits/mod.ts
@@ -5,19 +5,19 @@
  *
  * @module
  */
-export { LimitBook, type LimitNews } from "./limit_book.ts";
+export { LimitBook, type LimitNews } from "./limit_table.ts";
 export {
   type LimitedServer,
   ServerTurns,
   type TurnNews,
   type TurnReply,
   type TurnRequest,
-} from "./server_turns.ts";
+} from "./server_permits.ts";
 export {
   LEAST_PER_SECOND,
   TurnLedger,
   type TurnOutcome,
   type TurnUrgency,
-} from "./turn_ledger.ts";
-export { type LendingPace, type LentTo, TurnLenders } from "./turn_lenders.ts";
-export { TurnWaits } from "./turn_waits.ts";
+} from "./permit_ledger.ts";
+export { type LendingPace, type LentTo, TurnLenders } from "./permit_lenders.ts";
+export { TurnWaits } from "./permit_waits.ts";
--- a/packages/rampswitch-serving/src/server_limits/turn_ledger_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_ledger_test.ts
@@ -6,7 +6,7 @@
   LEAST_PER_SECOND,
   TurnLedger,
   type TurnUrgency,
-} from "./turn_ledger.ts";
+} from "./permit_ledger.ts";
 
 const HOSTS = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
 const ALL = { hosts: HOSTS, lenders: new Set(HOSTS) };
--- a/packages/rampswitch-serving/src/server_limits/turn_lenders.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
@@ -9,7 +9,7 @@
  */
 import { rendezvousOrder } from "rampswitch-utils";
 import { goneAfterMilliseconds } from "../admission/peer_spending.ts";
-import type { SlotOwners } from "./turn_ledger.ts";
+import type { SlotOwners } from "./permit_ledger.ts";
 
 /** How long things take by the pace of the news, in milliseconds. */
 export interface LendingPace {
--- a/packages/rampswitch-serving/src/server_limits/turn_lenders_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { TurnLenders } from "./turn_lenders.ts";
+import { TurnLenders } from "./permit_lenders.ts";
 
 const PACE = { silence: 700, interval: 250 };
 const SERVICE = "models";
--- a/packages/rampswitch-serving/src/server_limits/turn_waits_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_waits_test.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 import { describe, expect, test } from "@jest/globals";
-import { TurnWaits } from "./turn_waits.ts";
+import { TurnWaits } from "./permit_waits.ts";
 
 const SERVICE = "models";
 
--- a/packages/rampswitch-serving/src/server_limits/server_turns.ts
+++ b/packages/rampswitch-serving/src/server_limits/server_permits.ts
@@ -9,7 +9,7 @@
 import type { Clock, Logger } from "rampswitch-utils";
 import { type BackendServer, nameOfLife } from "../model/backend_server.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
-import { LimitBook, type LimitNews } from "./limit_book.ts";
+import { LimitBook, type LimitNews } from "./limit_table.ts";
 import {
   LEAST_PER_SECOND,
   type SlotOwners,
@@ -17,9 +17,9 @@
   type TurnOutcome,
   type TurnTerms,
   type TurnUrgency,
-} from "./turn_ledger.ts";
-import { type LendingPace, type LentTo, TurnLenders } from "./turn_lenders.ts";
-import { TurnWaits } from "./turn_waits.ts";
+} from "./permit_ledger.ts";
+import { type LendingPace, type LentTo, TurnLenders } from "./permit_lenders.ts";
+import { TurnWaits } from "./permit_waits.ts";
 
 /** What is asked for: a turn at one of some servers. */
 export interface TurnRequest {
--- a/packages/rampswitch-serving/src/server_limits/server_turns_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/server_permits_test.ts
@@ -8,7 +8,7 @@
   ServerTurns,
   type TurnReply,
   type TurnRequest,
-} from "./server_turns.ts";
+} from "./server_permits.ts";
 
 const SERVICE = "models";
 const PACE = { silence: 700, interval: 250 };
