--- a/packages/rampswitch-serving/src/server_limits/limit_table.ts
+++ b/packages/rampswitch-serving/src/server_limits/limit_table.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The limits that backend servers name, as one host knows them: read in answers, and
- * told by other hosts. Pure; all times are on the steady clock of this host.
+ * The limits that backend servers advertise, as one host has read them in answers
+ * or received them from other hosts. Pure; all times are in milliseconds on the
+ * monotonic clock of this host.
  *
  * @module
  */
@@ -10,108 +11,127 @@
 import { nameOfLife, type ServerLife } from "../model/backend_server.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
-/** What a server said of its limit, for hosts without a common clock. */
+/**
+ * The limit that a server advertised last, with an age instead of a time because
+ * hosts have no common clock.
+ */
 export interface LimitNews extends ServerLife {
-  /** Requests a second from all hosts; `undefined`: it named none. */
+  /**
+   * Requests per second from all hosts; `undefined` if the server advertised no
+   * limit.
+   */
   readonly perSecond: number | undefined;
-  /** Milliseconds since a host read it. */
+  /** Milliseconds since a host read it in an answer. */
   readonly age: number;
 }
 
-/** Where a statement came from. */
+/** Whether this host read the limit in an answer or received it from a peer. */
 type Origin = "answer" | "peer";
 
-interface Statement {
+interface AdvertisedLimit {
   readonly perSecond: number | undefined;
   readonly at: number;
   readonly origin: Origin;
 }
 
-interface KnownLimit extends ServerLife {
-  readonly newest: Statement;
-  /** Lower limits that were said before, each with the time of its successor. */
-  readonly former: readonly {
+interface LimitState extends ServerLife {
+  readonly newest: AdvertisedLimit;
+  /**
+   * Limits that still count if they are lower, each with the time when a newer one
+   * replaced it.
+   */
+  readonly superseded: readonly {
     readonly perSecond: number;
     readonly until: number;
   }[];
 }
 
 /**
- * Time for which a lower limit holds on after a higher one was said, in
- * milliseconds. Answers overtake one another, and news of both may cross.
+ * Time for which a lower limit stays in force after a higher one was advertised, in
+ * milliseconds. Answers can overtake one another, and so can the updates about
+ * them.
  */
-const LOWER_HOLDS_MILLISECONDS = 700;
+const LOWER_LIMIT_HOLD_MILLISECONDS = 700;
 
 /**
- * Time for which the end of a limit is remembered, in milliseconds, so that late
- * news of it changes nothing.
+ * Time for which the end of a limit is retained, in milliseconds, so that a late
+ * update does not restore the limit.
  */
-const ENDED_MILLISECONDS = 30_000;
+const ENDED_LIMIT_RETENTION_MILLISECONDS = 30_000;
 
-/** Limits in one message, the newest first. */
-const MOST_TOLD = 256;
+/** Maximum number of limits in one message; the newest ones are reported. */
+const MAXIMUM_LIMITS_PER_MESSAGE = 256;
 
-/** Servers whose limits are remembered. */
-const MOST_KNOWN = 8_192;
+/** Maximum number of servers whose limits are retained. */
+const MAXIMUM_TRACKED_SERVERS = 8_192;
 
-/** What a book works with. */
-export interface LimitBookParts {
+/** Dependencies of a table. */
+export interface LimitTableParts {
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  /** A server's answer named a limit that is new, or lower than it was. */
+  /** Called when an answer advertised a limit that is new or lower than before. */
   onLower(): void;
 }
 
-/** Limits of backend servers. */
+/** The advertised limits of backend servers. */
 export class LimitBook {
-  readonly #parts: LimitBookParts;
-  readonly #known = new Map<string, KnownLimit>();
+  readonly #parts: LimitTableParts;
+  readonly #states = new Map<string, LimitState>();
 
-  constructor(parts: LimitBookParts) {
+  constructor(parts: LimitTableParts) {
     this.#parts = parts;
   }
 
-  /** Lives of servers that have, or had lately, a limit. */
-  get lives(): readonly ServerLife[] {
-    return [...this.#known.values()];
+  /** Incarnations of servers that have a limit or had one recently. */
+  get incarnations(): readonly ServerLife[] {
+    return [...this.#states.values()];
   }
 
-  /** Whether any server is known to have, or to have had, a limit. */
+  /** Whether no server has a limit or had one recently. */
   get isEmpty(): boolean {
-    return this.#known.size === 0;
+    return this.#states.size === 0;
   }
 
   /**
-   * Requests a second that a server takes from all hosts; `undefined`: it names no
-   * limit. The lower of two that were said shortly after one another holds.
+   * Requests per second that a server takes from all hosts; `undefined` if it has
+   * no limit. If two limits were advertised shortly after one another, the lower
+   * one applies.
    */
-  of(life: ServerLife, now: number): number | undefined {
-    const known = this.#known.get(nameOfLife(life));
-    if (known === undefined) return undefined;
+  of(incarnation: ServerLife, now: number): number | undefined {
+    const state = this.#states.get(nameOfLife(incarnation));
+    if (state === undefined) return undefined;
     const lowest = Math.min(
-      known.newest.perSecond ?? Infinity,
-      ...known.former
-        .filter(({ until }) => now - until < LOWER_HOLDS_MILLISECONDS)
+      state.newest.perSecond ?? Infinity,
+      ...state.superseded
+        .filter(({ until }) => now - until < LOWER_LIMIT_HOLD_MILLISECONDS)
         .map(({ perSecond }) => perSecond),
     );
     return Number.isFinite(lowest) ? lowest : undefined;
   }
 
-  /** Age of what a server said last of its limit, in milliseconds. */
-  ageOf(life: ServerLife, now: number): number {
-    return now - (this.#known.get(nameOfLife(life))?.newest.at ?? -Infinity);
+  /** Age of a server's last advertised limit, in milliseconds. */
+  advertisedAge(incarnation: ServerLife, now: number): number {
+    return (
+      now - (this.#states.get(nameOfLife(incarnation))?.newest.at ?? -Infinity)
+    );
   }
 
-  /** Takes in what an answer of a server said. */
-  read(life: ServerLife, perSecond: number | undefined, now: number): void {
-    const isNews = perSecond !== undefined || this.#known.has(nameOfLife(life));
-    if (isNews) this.#take(life, { perSecond, at: now, origin: "answer" });
+  /** Records the limit that an answer of a server advertised. */
+  read(
+    incarnation: ServerLife,
+    perSecond: number | undefined,
+    now: number,
+  ): void {
+    const isRelevant =
+      perSecond !== undefined || this.#states.has(nameOfLife(incarnation));
+    if (isRelevant)
+      this.#accept(incarnation, { perSecond, at: now, origin: "answer" });
   }
 
-  /** Takes in what another host told. */
-  heard(news: readonly LimitNews[], now: number): void {
-    news.forEach(({ perSecond, age, ...life }) =>
-      this.#take(life, {
+  /** Receives the limits that another host reported. */
+  heard(updates: readonly LimitNews[], now: number): void {
+    updates.forEach(({ perSecond, age, ...incarnation }) =>
+      this.#accept(incarnation, {
         perSecond,
         at: now - Math.max(0, age),
         origin: "peer",
@@ -119,16 +139,19 @@
     );
   }
 
-  /** What to tell other hosts; of what they told themselves, only if asked. */
+  /**
+   * The limits to report to other hosts. With `ownOnly`, only those that this host
+   * read itself.
+   */
   news(
     now: number,
     { ownOnly }: { readonly ownOnly: boolean },
   ): readonly LimitNews[] {
-    this.#forgetEnded(now);
-    return [...this.#known.values()]
+    this.#removeEnded(now);
+    return [...this.#states.values()]
       .filter(({ newest }) => !ownOnly || newest.origin === "answer")
       .toSorted((left, right) => right.newest.at - left.newest.at)
-      .slice(0, MOST_TOLD)
+      .slice(0, MAXIMUM_LIMITS_PER_MESSAGE)
       .map(({ id, born, newest }) => ({
         id,
         born,
@@ -137,104 +160,111 @@
       }));
   }
 
-  /** A server's life is over, and its limit with it. */
-  forget(life: ServerLife): void {
-    this.#known.delete(nameOfLife(life));
+  /** Removes the limit of an incarnation that has ended. */
+  forget(incarnation: ServerLife): void {
+    this.#states.delete(nameOfLife(incarnation));
   }
 
-  #take(life: ServerLife, said: Statement): void {
-    const key = nameOfLife(life);
-    const before = this.#known.get(key);
-    if (before !== undefined && said.at <= before.newest.at) {
-      this.#takeLate(before, said);
+  #accept(incarnation: ServerLife, advertised: AdvertisedLimit): void {
+    const key = nameOfLife(incarnation);
+    const previous = this.#states.get(key);
+    if (previous !== undefined && advertised.at <= previous.newest.at) {
+      this.#acceptLate(previous, advertised);
       return;
     }
-    // Nothing is known of the server, so the end of its limit is no news.
-    if (before === undefined && said.perSecond === undefined) return;
-    this.#known.delete(key);
-    this.#known.set(key, {
-      ...life,
-      newest: said,
-      former: formerOf(before, said),
+    // The server had no limit before, so nothing has ended.
+    if (previous === undefined && advertised.perSecond === undefined) return;
+    this.#states.delete(key);
+    this.#states.set(key, {
+      ...incarnation,
+      newest: advertised,
+      superseded: supersededBy(previous, advertised),
     });
-    this.#forgetOldest();
-    if (before?.newest.perSecond === said.perSecond) return;
-    this.#tell(life, before?.newest, said);
-    const lower =
-      (said.perSecond ?? Infinity) < (before?.newest.perSecond ?? Infinity);
-    if (lower && said.origin === "answer") this.#parts.onLower();
+    this.#evictOldest();
+    if (previous?.newest.perSecond === advertised.perSecond) return;
+    this.#logChange(incarnation, previous?.newest, advertised);
+    const isLower =
+      (advertised.perSecond ?? Infinity) <
+      (previous?.newest.perSecond ?? Infinity);
+    if (isLower && advertised.origin === "answer") this.#parts.onLower();
   }
 
-  /** A limit that was said before the newest one, and heard after it. */
-  #takeLate(known: KnownLimit, { perSecond, at }: Statement): void {
+  /** Accepts a limit that was read before the newest one and received after it. */
+  #acceptLate(state: LimitState, { perSecond, at }: AdvertisedLimit): void {
     if (perSecond === undefined) return;
-    if (known.newest.at - at >= LOWER_HOLDS_MILLISECONDS) return;
-    if (perSecond >= (known.newest.perSecond ?? Infinity)) return;
-    const isKnown = known.former.some((one) => one.perSecond === perSecond);
-    if (isKnown) return;
-    this.#known.set(nameOfLife(known), {
-      ...known,
-      former: [...known.former, { perSecond, until: known.newest.at }],
+    if (state.newest.at - at >= LOWER_LIMIT_HOLD_MILLISECONDS) return;
+    if (perSecond >= (state.newest.perSecond ?? Infinity)) return;
+    const isIncluded = state.superseded.some(
+      (one) => one.perSecond === perSecond,
+    );
+    if (isIncluded) return;
+    this.#states.set(nameOfLife(state), {
+      ...state,
+      superseded: [...state.superseded, { perSecond, until: state.newest.at }],
     });
   }
 
-  #forgetEnded(now: number): void {
-    [...this.#known]
+  #removeEnded(now: number): void {
+    [...this.#states]
       .filter(
         ([, { newest }]) =>
           newest.perSecond === undefined &&
-          now - newest.at >= ENDED_MILLISECONDS,
+          now - newest.at >= ENDED_LIMIT_RETENTION_MILLISECONDS,
       )
-      .forEach(([key]) => this.#known.delete(key));
-    const limited = [...this.#known.values()].filter(
+      .forEach(([key]) => this.#states.delete(key));
+    const limited = [...this.#states.values()].filter(
       ({ newest }) => newest.perSecond !== undefined,
     );
     this.#parts.metrics.gauge("limited_servers", limited.length);
   }
 
-  #forgetOldest(): void {
-    const [oldest] = this.#known.keys();
-    if (this.#known.size <= MOST_KNOWN || oldest === undefined) return;
-    this.#known.delete(oldest);
+  #evictOldest(): void {
+    const [oldest] = this.#states.keys();
+    if (this.#states.size <= MAXIMUM_TRACKED_SERVERS || oldest === undefined)
+      return;
+    this.#states.delete(oldest);
     this.#parts.metrics.event("server_limit_forgotten");
   }
 
-  #tell(
+  #logChange(
     { id, born }: ServerLife,
-    before: Statement | undefined,
-    said: Statement,
+    previous: AdvertisedLimit | undefined,
+    advertised: AdvertisedLimit,
   ): void {
-    const change = changeOf(before?.perSecond, said.perSecond);
+    const change = changeOf(previous?.perSecond, advertised.perSecond);
     this.#parts.metrics.event(`server_limit_${change}`);
     this.#parts.logger.info(`server limit ${change}`, {
       server: id,
       born,
-      perSecond: said.perSecond,
-      before: before?.perSecond,
-      from: said.origin,
+      perSecond: advertised.perSecond,
+      before: previous?.perSecond,
+      from: advertised.origin,
     });
   }
 }
 
-type Change = "learnt" | "raised" | "lowered" | "ended";
+type LimitChange = "learnt" | "raised" | "lowered" | "ended";
 
-function changeOf(before: number | undefined, now: number | undefined): Change {
-  if (now === undefined) return "ended";
-  if (before === undefined) return "learnt";
-  return now < before ? "lowered" : "raised";
+function changeOf(
+  previous: number | undefined,
+  current: number | undefined,
+): LimitChange {
+  if (current === undefined) return "ended";
+  if (previous === undefined) return "learnt";
+  return current < previous ? "lowered" : "raised";
 }
 
-/** The lower limits that a new statement takes the place of. */
-function formerOf(
-  before: KnownLimit | undefined,
-  said: Statement,
-): KnownLimit["former"] {
-  if (before === undefined) return [];
-  const { perSecond } = before.newest;
-  const recent = before.former.filter(
-    ({ until }) => said.at - until < LOWER_HOLDS_MILLISECONDS,
+/** Returns the limits that stay in force after a newer one if they are lower. */
+function supersededBy(
+  previous: LimitState | undefined,
+  advertised: AdvertisedLimit,
+): LimitState["superseded"] {
+  if (previous === undefined) return [];
+  const { perSecond } = previous.newest;
+  const recent = previous.superseded.filter(
+    ({ until }) => advertised.at - until < LOWER_LIMIT_HOLD_MILLISECONDS,
   );
-  return perSecond === undefined || perSecond === said.perSecond
+  return perSecond === undefined || perSecond === advertised.perSecond
     ? recent
-    : [...recent, { perSecond, until: said.at }];
+    : [...recent, { perSecond, until: advertised.at }];
 }
--- a/packages/rampswitch-serving/src/server_limits/mod.ts
+++ b/packages/rampswitch-serving/src/server_limits/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Limits that backend servers name, kept by all hosts together.
+ * Rate limits that backend servers advertise, enforced by all hosts together.
  *
  * @module
  */
@@ -14,10 +14,14 @@
   type TurnRequest,
 } from "./server_permits.ts";
 export {
-  LEAST_PER_SECOND,
+  MINIMUM_PERMITS_PER_SECOND as LEAST_PER_SECOND,
   TurnLedger,
-  type TurnOutcome,
+  type PermitOutcome as TurnOutcome,
   type TurnUrgency,
 } from "./permit_ledger.ts";
-export { type LendingPace, type LentTo, TurnLenders } from "./permit_lenders.ts";
+export {
+  type LendingIntervals as LendingPace,
+  type LentTo,
+  TurnLenders,
+} from "./permit_lenders.ts";
 export { TurnWaits } from "./permit_waits.ts";
--- a/packages/rampswitch-serving/src/server_limits/permit_ledger.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_ledger.ts
@@ -1,146 +1,167 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The turns of backend servers that name limits: time is cut into slots, one for
- * each request that a server takes, and each slot is used once at most. Pure.
+ * Permits to send requests to backend servers that advertise a limit. Time is
+ * divided into time slots, one for each request that a server takes, and each time
+ * slot is used at most once. Pure.
  *
- * Each slot belongs to one host, drawn by a hash that all hosts draw alike. A host
- * that gives turns uses the slots of those alone that lend theirs to it, so that two
- * that both take themselves for the one that gives turns use different slots.
+ * Each time slot is owned by one host, chosen by a hash that all hosts compute
+ * alike. A host that grants permits uses only time slots that their owners lend to
+ * it. Two hosts that both act as the holder of a service therefore use different
+ * time slots.
  *
  * @module
  */
 import { hash32 } from "rampswitch-utils";
 
-/** How pressing a send is. */
+/** How urgently a request has to be sent. */
 export type TurnUrgency =
-  /** Takes a turn where another one is left for what is more urgent. */
+  /** Needs two free permits, so that one is left for a more urgent request. */
   | "ordinary"
-  /** Takes the last turn. */
+  /** May take the last permit. */
   | "urgent"
-  /** A stream that survives only there: takes the next turn before its time. */
+  /**
+   * Continues a stream that no other server can continue; may use time slots that
+   * have not begun.
+   */
   | "continuation";
 
-/** A server's turns as asked for. */
-export interface TurnTerms {
-  /** Names the life of the server. */
+/** The server that a permit is requested for, and the time slots that may be used. */
+export interface PermitTerms {
+  /** Name of the server's incarnation, unique among all servers. */
   readonly life: string;
-  /** Requests a second that it takes. */
+  /** Requests per second that the server takes. */
   readonly perSecond: number;
-  /** Time on which all hosts agree, in milliseconds. */
+  /** Fleet time, in milliseconds. */
   readonly time: number;
-  /** Whose slots may be used. */
-  readonly owners: SlotOwners;
+  /** Owners of the time slots that may be used. */
+  readonly owners: TimeSlotOwners;
 }
 
-/** The hosts that share the slots, and those that lend theirs. */
-export interface SlotOwners {
+/** The hosts that own time slots, and those of them that lend theirs. */
+export interface TimeSlotOwners {
   readonly hosts: readonly string[];
   readonly lenders: ReadonlySet<string>;
 }
 
-/** Whether a turn was given. */
-export type TurnOutcome =
+/** A permit, or the time after which to query again, in milliseconds. */
+export type PermitOutcome =
   | { readonly kind: "given" }
   | { readonly kind: "wait"; readonly milliseconds: number };
 
 /**
- * Least rate of turns, in requests a second. A server that takes nothing is tried
- * so often, or the end of its limit would never be known.
+ * Minimum rate of permits, in requests per second. A server whose limit is zero
+ * still gets requests at this rate, because the end of its limit is advertised in
+ * answers only.
  */
-export const LEAST_PER_SECOND = 0.25;
+export const MINIMUM_PERMITS_PER_SECOND = 0.25;
 
-/** Slots that may be used after their time; what is above is lost. */
-const KEPT_SLOTS = 2;
+/**
+ * Time slots up to the current one that may still be used; older ones expire
+ * unused.
+ */
+const RETAINED_TIME_SLOTS = 2;
 
-/** Slots that may be used before their time by what goes before all else. */
-const BORROWED_SLOTS = 2;
+/** Time slots that a continuation may use before they begin. */
+const ADVANCE_TIME_SLOTS = 2;
 
-/** Free slots that a send needs to see. */
-const NEEDED_SLOTS: Readonly<Record<TurnUrgency, number>> = {
+/** Number of free time slots that a permit requires. */
+const REQUIRED_TIME_SLOTS: Readonly<Record<TurnUrgency, number>> = {
   ordinary: 2,
   urgent: 1,
   continuation: 1,
 };
 
-/** Slots that are looked at for a next one of a lender. */
-const MOST_SLOTS_AHEAD = 8;
+/** Maximum number of future time slots that are searched for one of a lender. */
+const MAXIMUM_TIME_SLOTS_AHEAD = 8;
 
-/** Uses of slots by the life of a server. */
+/** Records which time slots are used, by incarnation of a server. */
 export class TurnLedger {
-  /** End of the last slot that was used, in agreed time. */
+  /** End of the last time slot that was used, in fleet time and milliseconds. */
   readonly #usedUntil = new Map<string, number>();
 
-  /** Gives a turn, or tells when to ask again. */
-  give(terms: TurnTerms, urgency: TurnUrgency): TurnOutcome {
-    const slot = slotMilliseconds(terms);
-    const usable = this.#usable(terms, urgency);
+  /** Grants a permit, or returns the time after which to query again. */
+  give(terms: PermitTerms, urgency: TurnUrgency): PermitOutcome {
+    const slot = timeSlotMilliseconds(terms);
+    const usable = this.#usableTimeSlots(terms, urgency);
     const [first] = usable;
-    const needed = NEEDED_SLOTS[urgency];
+    const needed = REQUIRED_TIME_SLOTS[urgency];
     if (first !== undefined && usable.length >= needed) {
       this.#usedUntil.set(terms.life, (first + 1) * slot);
       return { kind: "given" };
     }
     const missing = needed - usable.length;
-    return { kind: "wait", milliseconds: untilSlots(terms, missing) };
+    return {
+      kind: "wait",
+      milliseconds: millisecondsUntilTimeSlots(terms, missing),
+    };
   }
 
-  /** Turns that are free now. */
-  free(terms: TurnTerms): number {
-    return this.#usable(terms, "urgent").length;
+  /** Number of permits that are free now. */
+  freePermits(terms: PermitTerms): number {
+    return this.#usableTimeSlots(terms, "urgent").length;
   }
 
-  /** A server that is gone needs no turns. */
-  forget(life: string): void {
-    this.#usedUntil.delete(life);
+  /** Removes the record of an incarnation that has ended. */
+  forget(incarnationName: string): void {
+    this.#usedUntil.delete(incarnationName);
   }
 
-  /** Slots that may be used now, the oldest first. */
-  #usable(terms: TurnTerms, urgency: TurnUrgency): readonly number[] {
-    const slot = slotMilliseconds(terms);
+  /** Time slots that may be used now, the oldest first. */
+  #usableTimeSlots(
+    terms: PermitTerms,
+    urgency: TurnUrgency,
+  ): readonly number[] {
+    const slot = timeSlotMilliseconds(terms);
     const current = Math.floor(terms.time / slot);
-    const borrowed = urgency === "continuation" ? BORROWED_SLOTS : 0;
-    const count = KEPT_SLOTS + borrowed;
-    const usedUntil = this.#from(terms);
+    const ahead = urgency === "continuation" ? ADVANCE_TIME_SLOTS : 0;
+    const count = RETAINED_TIME_SLOTS + ahead;
+    const usedUntil = this.#usedUntilOf(terms);
     return Array.from(
       { length: count },
-      (_, index) => current - KEPT_SLOTS + 1 + index,
+      (_, index) => current - RETAINED_TIME_SLOTS + 1 + index,
     ).filter((at) => at * slot >= usedUntil && isUsable(at, terms));
   }
 
-  /** When slots were last used; a server that is new begins without any. */
-  #from(terms: TurnTerms): number {
-    const slot = slotMilliseconds(terms);
-    const furthest = (BORROWED_SLOTS + 1) * slot;
-    const known = this.#usedUntil.get(terms.life);
-    // A time that went back must not leave a server without turns.
+  /**
+   * Fleet time up to which time slots are used. A new server starts without
+   * retained ones.
+   */
+  #usedUntilOf(terms: PermitTerms): number {
+    const slot = timeSlotMilliseconds(terms);
+    const maximumLead = (ADVANCE_TIME_SLOTS + 1) * slot;
+    const recorded = this.#usedUntil.get(terms.life);
+    // After the fleet time was set back, the recorded end can lie far in the
+    // future. It is reset, or the server would get no permits until that time.
     const from =
-      known === undefined || known > terms.time + furthest ? terms.time : known;
+      recorded === undefined || recorded > terms.time + maximumLead
+        ? terms.time
+        : recorded;
     this.#usedUntil.set(terms.life, from);
     return from;
   }
 }
 
-/** Time until some more slots may be used, in milliseconds. */
-function untilSlots(terms: TurnTerms, count: number): number {
-  const slot = slotMilliseconds(terms);
+/** Time until the given number of further time slots may be used, in milliseconds. */
+function millisecondsUntilTimeSlots(terms: PermitTerms, count: number): number {
+  const slot = timeSlotMilliseconds(terms);
   const next = Math.floor(terms.time / slot) + 1;
   const found = { count: 0 };
-  const offset = Array.from({ length: MOST_SLOTS_AHEAD }).findIndex(
+  const offset = Array.from({ length: MAXIMUM_TIME_SLOTS_AHEAD }).findIndex(
     (_, index) => {
       if (isUsable(next + index, terms)) found.count += 1;
       return found.count >= count;
     },
   );
-  const at = next + (offset < 0 ? MOST_SLOTS_AHEAD : offset);
+  const at = next + (offset < 0 ? MAXIMUM_TIME_SLOTS_AHEAD : offset);
   return Math.max(0, at * slot - terms.time);
 }
 
-function slotMilliseconds({ perSecond }: TurnTerms): number {
-  return 1_000 / Math.max(perSecond, LEAST_PER_SECOND);
+function timeSlotMilliseconds({ perSecond }: PermitTerms): number {
+  return 1_000 / Math.max(perSecond, MINIMUM_PERMITS_PER_SECOND);
 }
 
-function isUsable(slot: number, { life, owners }: TurnTerms): boolean {
+function isUsable(slot: number, { life, owners }: PermitTerms): boolean {
   const { hosts, lenders } = owners;
   if (lenders.size >= hosts.length) return true;
   if (lenders.size === 0) return false;
@@ -148,7 +169,7 @@
   return owner !== undefined && lenders.has(owner);
 }
 
-/** The host with the highest hash; all hosts draw the same one. */
+/** Returns the host with the highest hash, which is the same one on all hosts. */
 function ownerOf(key: string, hosts: readonly string[]): string | undefined {
   return hosts
     .map((name) => ({ name, score: hash32(`${key}|${name}`) }))
--- a/packages/rampswitch-serving/src/server_limits/permit_ledger_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_ledger_test.ts
@@ -3,23 +3,23 @@
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
 import {
-  LEAST_PER_SECOND,
+  MINIMUM_PERMITS_PER_SECOND,
   TurnLedger,
   type TurnUrgency,
 } from "./permit_ledger.ts";
 
 const HOSTS = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
-const ALL = { hosts: HOSTS, lenders: new Set(HOSTS) };
+const ALL_LEND = { hosts: HOSTS, lenders: new Set(HOSTS) };
 
-/** Turns at once that a ledger gives at most, beyond rate x time. */
-const MOST_AT_ONCE = 3;
+/** Maximum number of permits beyond rate x time that a ledger grants at once. */
+const MAXIMUM_BURST = 3;
 
-function terms(perSecond: number, time: number, owners = ALL) {
+function terms(perSecond: number, time: number, owners = ALL_LEND) {
   return { life: "s1/7", perSecond, time, owners };
 }
 
-describe("turns of a server", () => {
-  test("are no more than its rate, however they are asked for", () => {
+describe("permits of a server", () => {
+  test("do not exceed its rate, whatever the pattern of queries", () => {
     fc.assert(
       fc.property(
         fc.double({ min: 0, max: 50, noNaN: true }),
@@ -30,25 +30,25 @@
           ),
           { minLength: 1, maxLength: 400 },
         ),
-        (perSecond, asked) => {
+        (perSecond, queries) => {
           const ledger = new TurnLedger();
-          const rate = Math.max(perSecond, LEAST_PER_SECOND);
+          const rate = Math.max(perSecond, MINIMUM_PERMITS_PER_SECOND);
           const count = { time: 0, at: 0, level: 0 };
-          asked.forEach(([pause, urgency]) => {
+          queries.forEach(([pause, urgency]) => {
             count.time += pause;
             const outcome = ledger.give(terms(perSecond, count.time), urgency);
             if (outcome.kind !== "given") return;
             const leaked = (rate * (count.time - count.at)) / 1_000;
             count.level = Math.max(0, count.level - leaked) + 1;
             count.at = count.time;
-            expect(count.level).toBeLessThanOrEqual(MOST_AT_ONCE);
+            expect(count.level).toBeLessThanOrEqual(MAXIMUM_BURST);
           });
         },
       ),
     );
   });
 
-  test("are used whole where requests are waiting", () => {
+  test("are all used while requests are waiting", () => {
     const ledger = new TurnLedger();
     const times = Array.from({ length: 6_000 }, (_, index) => index * 10);
     const given = times.filter(
@@ -58,7 +58,7 @@
     expect(given.length).toBeLessThanOrEqual(2 * 60);
   });
 
-  test("leave one for what is urgent", () => {
+  test("keep one free for urgent requests", () => {
     const ledger = new TurnLedger();
     ledger.give(terms(1, 0), "ordinary");
     expect(ledger.give(terms(1, 5_500), "ordinary").kind).toBe("given");
@@ -70,14 +70,14 @@
     expect(ledger.give(terms(1, 5_500), "continuation").kind).toBe("wait");
   });
 
-  test("tell when the next one is free", () => {
+  test("are refused with the time until the next one", () => {
     const ledger = new TurnLedger();
     ledger.give(terms(1, 0), "urgent");
     const outcome = ledger.give(terms(1, 100), "urgent");
     expect(outcome).toEqual({ kind: "wait", milliseconds: 900 });
   });
 
-  test("are no more where two hosts give them, each for its lenders", () => {
+  test("do not exceed the rate when two hosts grant them, each for its lenders", () => {
     const [left, right] = [new TurnLedger(), new TurnLedger()];
     const half = new Set(HOSTS.slice(0, 4));
     const rest = new Set(HOSTS.slice(4));
@@ -95,7 +95,7 @@
     expect(others.length).toBeGreaterThan(20);
   });
 
-  test("are none where nobody lends", () => {
+  test("are not granted without lenders", () => {
     const owners = { hosts: HOSTS, lenders: new Set<string>() };
     const ledger = new TurnLedger();
     expect(ledger.give(terms(50, 9_000, owners), "continuation").kind).toBe(
@@ -103,7 +103,7 @@
     );
   });
 
-  test("go on after the time went back", () => {
+  test("are granted again after the time was set back", () => {
     const ledger = new TurnLedger();
     ledger.give(terms(1, 2_400_000), "urgent");
     ledger.give(terms(1, 5_000), "urgent");
--- a/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
@@ -1,35 +1,37 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which host gives the turns of a service's limited servers, and which hosts lend it
- * their slots. Each host tells in its news to whom it lends; it lends to one at a
- * time, and another one counts that only once the former can't any more. Pure.
+ * Which host grants the permits of a service's limited servers (the holder), and
+ * which hosts lend it their time slots. A host that lends its time slots leaves
+ * their use to the holder. Each host reports in its gossip to which holder it
+ * lends. It lends to one holder at a time, and a new holder uses a loan only once
+ * the former one can no longer use it. Pure.
  *
  * @module
  */
 import { rendezvousOrder } from "rampswitch-utils";
 import { goneAfterMilliseconds } from "../admission/peer_spending.ts";
-import type { SlotOwners } from "./permit_ledger.ts";
+import type { TimeSlotOwners } from "./permit_ledger.ts";
 
-/** How long things take by the pace of the news, in milliseconds. */
-export interface LendingPace {
-  /** Silence after which a host's word does not count any more. */
+/** Intervals of the gossip, in milliseconds. */
+export interface LendingIntervals {
+  /** Silence after which a host's last update is no longer valid. */
   readonly silence: number;
-  /** Time between two messages of a host. */
+  /** Time between two updates of a host. */
   readonly interval: number;
 }
 
-/** To which host the slots of each service's servers are lent. */
+/** The holder that a host lends its time slots to, by service. */
 export type LentTo = Readonly<Record<string, string>>;
 
-/** A host's word on its slots. */
-export interface LenderNews {
+/** What a host reports about its time slots. */
+export interface LenderUpdate {
   readonly lentTo: LentTo;
-  /** Whether the host is about to end. */
+  /** Whether the host is shutting down. */
   readonly stopping: boolean;
 }
 
-/** The host that slots are lent to, and since when without a gap. */
+/** The holder that time slots are lent to, and since when without interruption. */
 interface Loan {
   readonly holder: string;
   readonly since: number;
@@ -39,27 +41,33 @@
 
 interface Lender {
   readonly loans: Loans;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** Time for a message on its way, in milliseconds, with some turns of a busy loop. */
-const ON_THE_WAY_MILLISECONDS = 100;
+/**
+ * Allowance for the delivery of a message, in milliseconds. It includes some
+ * iterations of a busy event loop.
+ */
+const MESSAGE_DELAY_MILLISECONDS = 100;
 
-/** Rounds without a look after which this process must have been paused. */
-const PAUSE_PACES = 2.4;
+/**
+ * Gossip intervals without an update of the loans after which this process must
+ * have been paused.
+ */
+const PAUSE_INTERVALS = 2.4;
 
-/** The hosts that share the slots of limited servers. */
+/** Tracks the holders of services and the time slots that are lent to this host. */
 export class TurnLenders {
   readonly #self: string;
   readonly #others = new Map<string, Lender>();
   #own: Loans = new Map();
-  #lookedAt = -Infinity;
+  #loansUpdatedAt = -Infinity;
 
   constructor(self: string) {
     this.#self = self;
   }
 
-  /** To whom this host lends, to tell the others. */
+  /** The holders that this host lends to, to report to the other hosts. */
   get lentTo(): LentTo {
     return Object.fromEntries(
       [...this.#own].map(([service, { holder }]) => [service, holder]),
@@ -67,108 +75,128 @@
   }
 
   /**
-   * Takes in, in each round of the news, which services have limited servers and
-   * which hosts may give their turns. `now` is on a clock that tells of pauses.
+   * Selects, in each gossip interval, the holder that this host lends to for each
+   * service with limited servers. `now` is the time of a clock that detects pauses
+   * of the process.
    */
   look(
-    seen: {
+    options: {
       readonly services: readonly string[];
       readonly holders: readonly string[];
     },
     now: number,
-    pace: LendingPace,
+    intervals: LendingIntervals,
   ): void {
-    // After a pause the others may have lent to somebody else.
-    const former: Loans = this.#isPaused(now, pace) ? new Map() : this.#own;
-    this.#lookedAt = now;
-    const lentTo = seen.services.flatMap((service) => {
-      const [holder] = rendezvousOrder(service, seen.holders);
+    // During a pause, the other hosts may have lent to another holder.
+    const previous: Loans = this.#isPaused(now, intervals)
+      ? new Map()
+      : this.#own;
+    this.#loansUpdatedAt = now;
+    const lentTo = options.services.flatMap((service) => {
+      const [holder] = rendezvousOrder(service, options.holders);
       return holder === undefined ? [] : [[service, holder] as const];
     });
-    this.#own = goneOn(former, lentTo, now);
+    this.#own = continueLoans(previous, lentTo, now);
   }
 
-  /** Takes in that a host is listed that has told nothing yet. */
+  /** Adds a host that is listed and has not reported yet. */
   expected(host: string, now: number): void {
     if (this.#others.has(host)) return;
-    this.#others.set(host, { loans: new Map(), heardAt: now });
+    this.#others.set(host, { loans: new Map(), receivedAt: now });
   }
 
-  /** Takes in a host's word; `at` is when it gave it. */
+  /** Receives the update of a host; `at` is the time when it was sent. */
   heard(
     host: string,
-    { lentTo, stopping }: LenderNews,
-    { at, pace }: { readonly at: number; readonly pace: LendingPace },
+    { lentTo, stopping }: LenderUpdate,
+    { at, pace }: { readonly at: number; readonly pace: LendingIntervals },
   ): void {
     if (stopping) {
       this.#others.delete(host);
       return;
     }
-    const before = this.#others.get(host);
+    const previous = this.#others.get(host);
     const isSilent =
-      before === undefined || at - before.heardAt >= pace.silence;
-    const former: Loans = isSilent ? new Map() : before.loans;
+      previous === undefined || at - previous.receivedAt >= pace.silence;
+    const former: Loans = isSilent ? new Map() : previous.loans;
     this.#others.set(host, {
-      loans: goneOn(former, Object.entries(lentTo), at),
-      heardAt: at,
+      loans: continueLoans(former, Object.entries(lentTo), at),
+      receivedAt: at,
     });
   }
 
-  /** The host that gives the turns of a service; `undefined` while none is known. */
+  /**
+   * The host that grants the permits of a service; `undefined` while none is known.
+   */
   holder(service: string): string | undefined {
     return this.#own.get(service)?.holder;
   }
 
-  /** Whose slots this host may use for a service whose turns it gives. */
-  owners(service: string, now: number, pace: LendingPace): SlotOwners {
-    this.#forgetGone(now, pace);
+  /**
+   * The owners of time slots that this host may use for a service. There are no
+   * lenders unless this host is the service's holder.
+   */
+  owners(
+    service: string,
+    now: number,
+    intervals: LendingIntervals,
+  ): TimeSlotOwners {
+    this.#removeGone(now, intervals);
     const hosts = [this.#self, ...this.#others.keys()];
-    const settled = now - settledAfter(pace);
-    const isMine = (loan: Loan | undefined) =>
-      loan?.holder === this.#self && loan.since <= settled;
-    if (this.#isPaused(now, pace) || !isMine(this.#own.get(service))) {
+    const settledBefore = now - settlementMilliseconds(intervals);
+    const isBorrowedHere = (loan: Loan | undefined) =>
+      loan?.holder === this.#self && loan.since <= settledBefore;
+    if (
+      this.#isPaused(now, intervals) ||
+      !isBorrowedHere(this.#own.get(service))
+    ) {
       return { hosts, lenders: new Set() };
     }
     const lenders = [...this.#others]
-      .filter(([, { heardAt }]) => now - heardAt < pace.silence)
-      .filter(([, { loans }]) => isMine(loans.get(service)))
+      .filter(([, { receivedAt }]) => now - receivedAt < intervals.silence)
+      .filter(([, { loans }]) => isBorrowedHere(loans.get(service)))
       .map(([name]) => name);
     return { hosts, lenders: new Set([this.#self, ...lenders]) };
   }
 
-  #isPaused(now: number, { interval }: LendingPace): boolean {
-    return now - this.#lookedAt > interval * PAUSE_PACES;
+  #isPaused(now: number, { interval }: LendingIntervals): boolean {
+    return now - this.#loansUpdatedAt > interval * PAUSE_INTERVALS;
   }
 
-  #forgetGone(now: number, { silence }: LendingPace): void {
+  #removeGone(now: number, { silence }: LendingIntervals): void {
     const others = [...this.#others];
-    const heard = others.filter(([, { heardAt }]) => now - heardAt < silence);
-    const gone = goneAfterMilliseconds(heard.length, others.length);
+    const recent = others.filter(
+      ([, { receivedAt }]) => now - receivedAt < silence,
+    );
+    const goneAfter = goneAfterMilliseconds(recent.length, others.length);
     others
-      .filter(([, { heardAt }]) => now - heardAt >= gone)
+      .filter(([, { receivedAt }]) => now - receivedAt >= goneAfter)
       .forEach(([name]) => this.#others.delete(name));
   }
 }
 
-/** Loans as they are told now; those to the same host go on. */
-function goneOn(
-  former: Loans,
+/** Returns the current loans. A loan to the same holder as before keeps its start. */
+function continueLoans(
+  previous: Loans,
   lentTo: readonly (readonly [string, string])[],
   now: number,
 ): Loans {
   return new Map(
     lentTo.map(([service, holder]) => {
-      const before = former.get(service);
-      const since = before?.holder === holder ? before.since : now;
+      const loan = previous.get(service);
+      const since = loan?.holder === holder ? loan.since : now;
       return [service, { holder, since }];
     }),
   );
 }
 
 /**
- * Time after which what a host lends to this one is surely not used by another: the
- * former has heard of the change, or has not heard the host for too long.
+ * Time after which a former holder can no longer use a loan, in milliseconds. By
+ * then it has received the change, or has not heard from the lender for too long.
  */
-function settledAfter({ silence, interval }: LendingPace): number {
-  return silence + interval + ON_THE_WAY_MILLISECONDS;
+function settlementMilliseconds({
+  silence,
+  interval,
+}: LendingIntervals): number {
+  return silence + interval + MESSAGE_DELAY_MILLISECONDS;
 }
--- a/packages/rampswitch-serving/src/server_limits/permit_lenders_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders_test.ts
@@ -4,11 +4,14 @@
 import fc from "fast-check";
 import { TurnLenders } from "./permit_lenders.ts";
 
-const PACE = { silence: 700, interval: 250 };
+const INTERVALS = { silence: 700, interval: 250 };
 const SERVICE = "models";
 const NAMES = ["a", "b", "c", "d"];
 
-/** Time after which a change of the holder counts, generously, in milliseconds. */
+/**
+ * Upper estimate of the time after which a new holder can use loans, in
+ * milliseconds.
+ */
 const SETTLED_MILLISECONDS = 1_300;
 
 interface Fleet {
@@ -26,23 +29,26 @@
   return { hosts, now: 0 };
 }
 
-/** One round of the news: each host sees some others, and is heard by some. */
+/**
+ * Runs one gossip interval. `reaches` tells whether the updates of one host reach
+ * another.
+ */
 function round(
   state: Fleet,
-  seen: (from: string, to: string) => boolean = () => true,
+  reaches: (from: string, to: string) => boolean = () => true,
 ): void {
-  state.now += PACE.interval;
+  state.now += INTERVALS.interval;
   state.hosts.forEach((lenders, name) => {
     const holders = NAMES.filter(
-      (other) => other === name || seen(other, name),
+      (other) => other === name || reaches(other, name),
     );
-    lenders.look({ services: [SERVICE], holders }, state.now, PACE);
+    lenders.look({ services: [SERVICE], holders }, state.now, INTERVALS);
   });
   state.hosts.forEach(({ lentTo }, from) =>
     state.hosts.forEach((lenders, to) => {
-      if (from === to || !seen(from, to)) return;
-      const told = { lentTo, stopping: false };
-      lenders.heard(from, told, { at: state.now, pace: PACE });
+      if (from === to || !reaches(from, to)) return;
+      const update = { lentTo, stopping: false };
+      lenders.heard(from, update, { at: state.now, pace: INTERVALS });
     }),
   );
 }
@@ -50,30 +56,30 @@
 function rounds(
   state: Fleet,
   count: number,
-  seen?: (from: string, to: string) => boolean,
+  reaches?: (from: string, to: string) => boolean,
 ): void {
-  Array.from({ length: count }).forEach(() => round(state, seen));
+  Array.from({ length: count }).forEach(() => round(state, reaches));
 }
 
-/** The hosts that lend to each host. */
+/** The lenders of all hosts, one entry for each loan. */
 function loans(state: Fleet): readonly string[] {
   return [...state.hosts.values()].flatMap((lenders) => [
-    ...lenders.owners(SERVICE, state.now, PACE).lenders,
+    ...lenders.owners(SERVICE, state.now, INTERVALS).lenders,
   ]);
 }
 
-describe("hosts that lend their slots", () => {
-  test("lend them all to one host, once they surely lend to no other", () => {
+describe("lenders of time slots", () => {
+  test("all lend to one holder once loans to other holders have ended", () => {
     const state = fleet();
     rounds(state, 2);
     expect(loans(state)).toEqual([]);
-    rounds(state, SETTLED_MILLISECONDS / PACE.interval);
+    rounds(state, SETTLED_MILLISECONDS / INTERVALS.interval);
     expect(loans(state).toSorted()).toEqual(NAMES);
     const holders = [...state.hosts.values()].map((one) => one.holder(SERVICE));
     expect(new Set(holders).size).toBe(1);
   });
 
-  test("never lend to two hosts, whoever hears whom", () => {
+  test("never lend to two holders, whichever updates arrive", () => {
     fc.assert(
       fc.property(
         fc.array(fc.array(fc.boolean(), { minLength: 16, maxLength: 16 }), {
@@ -87,10 +93,10 @@
           const state = fleet();
           rounds(state, 8);
           cuts.forEach((cut, index) => {
-            const seen = (from: string, to: string) =>
+            const reaches = (from: string, to: string) =>
               cut[NAMES.indexOf(from) * 4 + NAMES.indexOf(to)] === true;
             Array.from({ length: lengths[index] ?? 1 }).forEach(() => {
-              round(state, seen);
+              round(state, reaches);
               const lent = loans(state);
               expect(lent).toHaveLength(new Set(lent).size);
             });
@@ -100,12 +106,13 @@
     );
   });
 
-  test("lend to another one when the first is gone", () => {
+  test("lend to another holder when the first one is gone", () => {
     const state = fleet();
     rounds(state, 8);
     const first = state.hosts.get("a")?.holder(SERVICE) ?? "";
-    const lives = (from: string, to: string) => from !== first && to !== first;
-    rounds(state, 12, lives);
+    const isPresent = (from: string, to: string) =>
+      from !== first && to !== first;
+    rounds(state, 12, isPresent);
     const second = [...state.hosts]
       .filter(([name]) => name !== first)
       .map(([, one]) => one.holder(SERVICE));
@@ -113,7 +120,7 @@
     expect(second[0]).not.toBe(first);
   });
 
-  test("lend nothing to a host that was paused, until they say so again", () => {
+  test("lend nothing to a holder that was paused until they report the loan again", () => {
     const state = fleet();
     rounds(state, 8);
     state.now += 5_000;
@@ -124,7 +131,7 @@
     expect(loans(state).toSorted()).toEqual(NAMES);
   });
 
-  test("own no slots once they stop", () => {
+  test("own no time slots once they stop", () => {
     const state = fleet();
     rounds(state, 8);
     const [, holder] =
@@ -134,9 +141,10 @@
     holder?.heard(
       stopping ?? "",
       { lentTo: {}, stopping: true },
-      { at: state.now, pace: PACE },
+      { at: state.now, pace: INTERVALS },
     );
-    const { hosts, lenders } = holder?.owners(SERVICE, state.now, PACE) ?? {};
+    const { hosts, lenders } =
+      holder?.owners(SERVICE, state.now, INTERVALS) ?? {};
     expect(hosts).not.toContain(stopping);
     expect(lenders?.size).toBe(NAMES.length - 1);
   });
--- a/packages/rampswitch-serving/src/server_limits/permit_waits.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_waits.ts
@@ -1,74 +1,93 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * When it makes sense to ask for a turn again, and when callers are told to come back
- * that got none: each with a turn of its own. Pure.
+ * When a host may query for a permit again, and after which delay refused callers
+ * may retry. Each refused caller gets the time of a permit of its own. Pure.
  *
  * @module
  */
 
-/** Share of a service's turns that one host may count on. */
-export interface TurnShare {
-  /** Requests a second that the service's limited servers take together. */
+/** The permits of a service, and the hosts that share them. */
+export interface PermitShare {
+  /** Requests per second that the service's limited servers take together. */
   readonly perSecond: number;
-  /** Hosts whose callers come for them. */
+  /** Hosts that send requests of callers to these servers. */
   readonly hosts: number;
 }
 
-/** Longest time for which turns are not asked for, in milliseconds. */
-const LONGEST_PAUSE_MILLISECONDS = 500;
+/**
+ * Maximum pause between queries for permits, in milliseconds, since a limit may end
+ * meanwhile.
+ */
+const MAXIMUM_QUERY_PAUSE_MILLISECONDS = 500;
 
-/** The same after a question without an answer, in milliseconds. */
-const UNANSWERED_MILLISECONDS = 100;
+/** Pause after a query that was not answered, in milliseconds. */
+const UNANSWERED_PAUSE_MILLISECONDS = 100;
 
-/** Longest wait that a caller is told, in milliseconds. */
-const LONGEST_WAIT_MILLISECONDS = 60_000;
+/** Maximum retry delay that a caller is given, in milliseconds. */
+const MAXIMUM_RETRY_DELAY_MILLISECONDS = 60_000;
 
-interface Wait {
-  /** Before this, the holder has no turn. */
+interface ServiceWait {
+  /** Time of the holder's next free permit. */
   readonly freeAt: number;
-  readonly askAt: number;
-  /** When the last caller that was sent away may come back. */
-  readonly toldUntil: number;
+  readonly queryAt: number;
+  /** Time at which the caller that was refused last may retry. */
+  readonly assignedUntil: number;
 }
 
-const NONE: Wait = { freeAt: 0, askAt: 0, toldUntil: -Infinity };
+const NO_WAIT: ServiceWait = {
+  freeAt: 0,
+  queryAt: 0,
+  assignedUntil: -Infinity,
+};
 
-/** Waits for turns by service. */
+/** Waits for permits, by service. */
 export class TurnWaits {
-  readonly #waits = new Map<string, Wait>();
+  readonly #waits = new Map<string, ServiceWait>();
 
-  /** Whether a turn may be there to be asked for. */
+  /** Whether a query for a permit may succeed now. */
   mayAsk(service: string, now: number): boolean {
-    return now >= this.#of(service).askAt;
+    return now >= this.#of(service).queryAt;
   }
 
-  /** There was no turn; another one is free after some time. */
+  /**
+   * Records that no permit was free, and the time until the next one in
+   * milliseconds.
+   */
   refused(service: string, milliseconds: number, now: number): void {
     this.#waits.set(service, {
       ...this.#of(service),
       freeAt: now + milliseconds,
-      askAt: now + Math.min(milliseconds, LONGEST_PAUSE_MILLISECONDS),
+      queryAt: now + Math.min(milliseconds, MAXIMUM_QUERY_PAUSE_MILLISECONDS),
     });
   }
 
-  /** No answer came. */
+  /** Records that a query was not answered. */
   unanswered(service: string, now: number): void {
-    this.refused(service, UNANSWERED_MILLISECONDS, now);
+    this.refused(service, UNANSWERED_PAUSE_MILLISECONDS, now);
   }
 
-  /** Time after which a caller that is sent away now may come back, in ms. */
-  tell(service: string, { perSecond, hosts }: TurnShare, now: number): number {
+  /**
+   * Returns the delay after which the caller that is refused now may retry, in
+   * milliseconds.
+   */
+  tell(
+    service: string,
+    { perSecond, hosts }: PermitShare,
+    now: number,
+  ): number {
     const wait = this.#of(service);
     const spacing =
-      perSecond > 0 ? (1_000 * hosts) / perSecond : LONGEST_WAIT_MILLISECONDS;
-    const next = Math.max(now, wait.freeAt, wait.toldUntil + spacing);
-    const told = Math.min(next, now + LONGEST_WAIT_MILLISECONDS);
-    this.#waits.set(service, { ...wait, toldUntil: told });
-    return told - now;
+      perSecond > 0
+        ? (1_000 * hosts) / perSecond
+        : MAXIMUM_RETRY_DELAY_MILLISECONDS;
+    const next = Math.max(now, wait.freeAt, wait.assignedUntil + spacing);
+    const assigned = Math.min(next, now + MAXIMUM_RETRY_DELAY_MILLISECONDS);
+    this.#waits.set(service, { ...wait, assignedUntil: assigned });
+    return assigned - now;
   }
 
-  #of(service: string): Wait {
-    return this.#waits.get(service) ?? NONE;
+  #of(service: string): ServiceWait {
+    return this.#waits.get(service) ?? NO_WAIT;
   }
 }
--- a/packages/rampswitch-serving/src/server_limits/permit_waits_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_waits_test.ts
@@ -5,8 +5,8 @@
 
 const SERVICE = "models";
 
-describe("waits for turns", () => {
-  test("end when the next turn is free", () => {
+describe("waits for permits", () => {
+  test("end when the next permit is free", () => {
     const waits = new TurnWaits();
     expect(waits.mayAsk(SERVICE, 1_000)).toBe(true);
     waits.refused(SERVICE, 200, 1_000);
@@ -20,17 +20,17 @@
     expect(waits.mayAsk(SERVICE, 1_600)).toBe(true);
   });
 
-  test("tell each caller a turn of its own", () => {
+  test("assign each caller the time of a permit of its own", () => {
     const waits = new TurnWaits();
     waits.refused(SERVICE, 400, 1_000);
     const share = { perSecond: 2, hosts: 4 };
-    const told = [1_000, 1_000, 1_100].map((now) =>
+    const delays = [1_000, 1_000, 1_100].map((now) =>
       waits.tell(SERVICE, share, now),
     );
-    expect(told).toEqual([400, 2_400, 4_300]);
+    expect(delays).toEqual([400, 2_400, 4_300]);
   });
 
-  test("tell no time that never comes", () => {
+  test("do not exceed the maximum retry delay", () => {
     const waits = new TurnWaits();
     const share = { perSecond: 0, hosts: 9 };
     waits.tell(SERVICE, share, 1_000);
--- a/packages/rampswitch-serving/src/server_limits/server_permits.ts
+++ b/packages/rampswitch-serving/src/server_limits/server_permits.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Turns at backend servers that name limits, over all hosts: one host gives those of
- * a service, and the others ask it. Who gets no turn sends nothing.
+ * Permits to send requests to backend servers that advertise a limit, shared by all
+ * hosts. For each service, one host grants the permits (the holder), and the others
+ * query it. A host without a permit sends nothing.
  *
  * @module
  */
@@ -11,271 +12,299 @@
 import type { ServingMetrics } from "../observation/mod.ts";
 import { LimitBook, type LimitNews } from "./limit_table.ts";
 import {
-  LEAST_PER_SECOND,
-  type SlotOwners,
+  MINIMUM_PERMITS_PER_SECOND,
+  type TimeSlotOwners,
   TurnLedger,
-  type TurnOutcome,
-  type TurnTerms,
+  type PermitOutcome,
+  type PermitTerms,
   type TurnUrgency,
 } from "./permit_ledger.ts";
-import { type LendingPace, type LentTo, TurnLenders } from "./permit_lenders.ts";
+import {
+  type LendingIntervals,
+  type LentTo,
+  TurnLenders,
+} from "./permit_lenders.ts";
 import { TurnWaits } from "./permit_waits.ts";
 
-/** What is asked for: a turn at one of some servers. */
+/** A request for a permit at one of some servers. */
 export interface TurnRequest {
   readonly service: string;
-  /** Ids, the preferred ones first. */
+  /** Ids of the servers, the preferred ones first. */
   readonly servers: readonly string[];
   readonly urgency: TurnUrgency;
 }
 
-/** The answer: a turn at one of them, or when to ask again. */
+/**
+ * A permit at one of the servers, or the time after which to query again, in
+ * milliseconds.
+ */
 export type TurnReply =
   | { readonly kind: "given"; readonly server: string }
   | { readonly kind: "wait"; readonly milliseconds: number };
 
-/** What a host tells of limits and turns. */
+/** What a host reports about limits and permits. */
 export interface TurnNews {
   readonly limits: readonly LimitNews[];
   readonly lentTo: LentTo;
 }
 
-/** A server as far as turns go; its record changes with its entry. */
+/** A server that may advertise a limit. Its entry can change. */
 export interface LimitedServer {
   readonly entry: Pick<BackendServer, "id" | "born" | "service">;
 }
 
-/** What turns are given with. */
-export interface ServerTurnsParts {
+/** Dependencies of {@link ServerTurns}. */
+export interface ServerPermitsParts {
   readonly host: string;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
-  /** A clock that tells of pauses, also of those over a suspension. */
+  /**
+   * A clock that detects pauses of the process, including a suspension of the
+   * machine.
+   */
   readonly cautiousClock: Clock;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  /** Time on which all hosts agree, in milliseconds. */
+  /** Fleet time, in milliseconds. */
   agreedTime(): number;
-  pace(): LendingPace;
-  /** Hosts of the system that may be serving. */
+  pace(): LendingIntervals;
+  /** Number of hosts that may be serving. */
   hosts(): number;
-  /** The present life of a server. */
+  /** The current incarnation of a server. */
   server(id: string): LimitedServer | undefined;
-  /** Asks another host; `undefined` where no answer comes in time. */
+  /** Queries the holder; `undefined` if no answer arrives in time. */
   ask(holder: string, request: TurnRequest): Promise<TurnReply | undefined>;
-  /** A server named a limit that is new, or lower: tells the others at once. */
+  /**
+   * Called when an answer advertised a limit that is new or lower, to report it to
+   * the other hosts at once.
+   */
   tell(): void;
 }
 
-/** Servers that a question names at most; any of them will do. */
-export const MOST_ASKED_SERVERS = 16;
+/** Maximum number of servers in a query; the holder may choose any of them. */
+export const MAXIMUM_QUERIED_SERVERS = 16;
 
 /**
- * Time without a word of a limited server after which it is sent a request to hear
- * one, in milliseconds; the same for hosts that don't give its turns.
+ * Time after which a limited server whose limit was not reported is sent a probe,
+ * in milliseconds. The answer tells whether the limit has changed or ended. Hosts
+ * that are not the holder wait longer.
  */
-const PROBE_MILLISECONDS = { holder: 2_000, others: 5_000 };
+const PROBE_INTERVAL_MILLISECONDS = { holder: 2_000, others: 5_000 };
 
-/** Wait while no host gives the turns of a service, in milliseconds. */
-const NO_HOLDER_MILLISECONDS = 300;
+/** Time until the next query while a service has no holder, in milliseconds. */
+const NO_HOLDER_WAIT_MILLISECONDS = 300;
 
 const NO_HOLDER: TurnReply = {
   kind: "wait",
-  milliseconds: NO_HOLDER_MILLISECONDS,
+  milliseconds: NO_HOLDER_WAIT_MILLISECONDS,
 };
 
-/** Servers of a service whose free turns are shown. */
-const MOST_SHOWN_SERVERS = 64;
+/**
+ * Maximum number of servers of a service whose free permits are shown as a metric.
+ */
+const MAXIMUM_MEASURED_SERVERS = 64;
 
-/** A server that is asked for, and its turns. */
-interface AskedServer {
+/** A server in a query, with the terms of its permits. */
+interface QueriedServer {
   readonly id: string;
-  readonly terms: TurnTerms;
+  readonly terms: PermitTerms;
 }
 
-/** Limited servers and their turns, as one host knows them. */
+/** The limited servers and their permits, as one host sees them. */
 export class ServerTurns {
-  readonly #parts: ServerTurnsParts;
-  readonly #book: LimitBook;
+  readonly #parts: ServerPermitsParts;
+  readonly #limitTable: LimitBook;
   readonly #lenders: TurnLenders;
   readonly #ledger = new TurnLedger();
   readonly #waits = new TurnWaits();
 
-  constructor(parts: ServerTurnsParts) {
+  constructor(parts: ServerPermitsParts) {
     this.#parts = parts;
-    this.#book = new LimitBook({ ...parts, onLower: () => parts.tell() });
+    this.#limitTable = new LimitBook({ ...parts, onLower: () => parts.tell() });
     this.#lenders = new TurnLenders(parts.host);
   }
 
-  /** Requests a second that a server takes; `undefined`: it names no limit. */
+  /**
+   * Requests per second that a server takes; `undefined` if it advertises no limit.
+   */
   limitOf({ entry }: LimitedServer): number | undefined {
-    return this.#book.isEmpty
+    return this.#limitTable.isEmpty
       ? undefined
-      : this.#book.of(entry, this.#parts.clock.now());
+      : this.#limitTable.of(entry, this.#parts.clock.now());
   }
 
-  /** Those of some servers that name no limit. */
+  /** Returns the servers without a limit. */
   unlimited<Server extends LimitedServer>(
     servers: readonly Server[],
   ): readonly Server[] {
-    if (this.#book.isEmpty) return servers;
+    if (this.#limitTable.isEmpty) return servers;
     return servers.filter((server) => this.limitOf(server) === undefined);
   }
 
-  /** Those of some servers that name a limit. */
+  /** Returns the servers with a limit. */
   limited<Server extends LimitedServer>(
     servers: readonly Server[],
   ): readonly Server[] {
-    if (this.#book.isEmpty) return [];
+    if (this.#limitTable.isEmpty) return [];
     return servers.filter((server) => this.limitOf(server) !== undefined);
   }
 
-  /** Takes in the limit that an answer names; `undefined`: it names none. */
+  /**
+   * Records the limit that an answer advertised; `undefined` if it advertised none.
+   */
   read({ entry }: LimitedServer, perSecond: number | undefined): void {
-    this.#book.read(entry, perSecond, this.#parts.clock.now());
+    this.#limitTable.read(entry, perSecond, this.#parts.clock.now());
   }
 
   /**
-   * What to tell the others in this round of the news, after a look at the hosts
-   * that may give turns.
+   * Returns what to report to the other hosts in this gossip interval, and updates
+   * the loans of this host's time slots.
    */
-  news(seen: {
+  news(options: {
     readonly holders: readonly string[];
-    /** Whether the others hear all limits from this host, and not only its own. */
+    /**
+     * Whether this host reports all limits, and not only those that it read itself.
+     */
     readonly tellsAll: boolean;
   }): TurnNews {
     const parts = this.#parts;
-    const limits = this.limits(parts.clock.now(), !seen.tellsAll);
+    const limits = this.limits(parts.clock.now(), !options.tellsAll);
     const services = this.#limitedServices();
     this.#lenders.look(
-      { services, holders: seen.holders },
+      { services, holders: options.holders },
       parts.cautiousClock.now(),
       parts.pace(),
     );
-    this.#countFree(services);
+    this.#measureFreePermits(services);
     return { limits, lentTo: this.#lenders.lentTo };
   }
 
-  /** Limits to tell. */
+  /** Returns the limits to report. */
   limits(now: number, ownOnly = false): readonly LimitNews[] {
-    return this.#book.news(now, { ownOnly });
+    return this.#limitTable.news(now, { ownOnly });
   }
 
-  /** A host is listed that has told nothing yet. */
+  /** Adds a host that is listed and has not reported yet. */
   expected(host: string): void {
     this.#lenders.expected(host, this.#parts.cautiousClock.now());
   }
 
-  /** Takes in a host's word, and how long ago it gave it, in milliseconds. */
+  /** Receives the update of a host, which was sent `age` milliseconds ago. */
   heard(
     host: string,
-    told: TurnNews & { readonly stopping: boolean },
+    update: TurnNews & { readonly stopping: boolean },
     age: number,
   ): void {
     const at = this.#parts.cautiousClock.now() - age;
-    this.#lenders.heard(host, told, { at, pace: this.#parts.pace() });
-    this.heardLimits(told.limits, age);
+    this.#lenders.heard(host, update, { at, pace: this.#parts.pace() });
+    this.heardLimits(update.limits, age);
   }
 
-  /** Takes in limits that another host told. */
+  /** Receives the limits that another host reported `age` milliseconds ago. */
   heardLimits(limits: readonly LimitNews[], age: number): void {
     const now = this.#parts.clock.now();
-    this.#book.heard(
+    this.#limitTable.heard(
       limits.map((one) => ({ ...one, age: one.age + age })),
       now,
     );
   }
 
-  /** Takes a turn at one of some servers, here or at the host that gives them. */
+  /** Requests a permit at one of some servers, from this host or from the holder. */
   async take(request: TurnRequest): Promise<TurnReply> {
     const { host, clock, metrics } = this.#parts;
     const { service } = request;
     const holder = this.#lenders.holder(service);
-    if (holder === host) return this.#noted(service, this.give(request));
+    if (holder === host) return this.#recordReply(service, this.give(request));
     const waits = request.urgency === "continuation" ? undefined : this.#waits;
     if (holder === undefined || waits?.mayAsk(service, clock.now()) === false) {
       metrics.event("turn_not_asked_for");
       return NO_HOLDER;
     }
-    const servers = request.servers.slice(0, MOST_ASKED_SERVERS);
+    const servers = request.servers.slice(0, MAXIMUM_QUERIED_SERVERS);
     const reply = await this.#parts.ask(holder, { ...request, servers });
     if (reply === undefined) {
       this.#waits.unanswered(service, clock.now());
       metrics.event("turn_unanswered");
       return NO_HOLDER;
     }
-    return this.#noted(service, reply);
+    return this.#recordReply(service, reply);
   }
 
-  /** Gives a turn, as far as this host is the one that gives them. */
+  /** Grants a permit if this host is the holder of the service. */
   give({ service, servers, urgency }: TurnRequest): TurnReply {
     const owners = this.#ownersOf(service);
     if (owners.lenders.size === 0) return NO_HOLDER;
-    const asked = servers
-      .slice(0, MOST_ASKED_SERVERS)
+    const queried = servers
+      .slice(0, MAXIMUM_QUERIED_SERVERS)
       .flatMap((id) => this.#termsOf(id, owners) ?? []);
-    return this.#giveFirst(asked, urgency);
+    return this.#grantFirst(queried, urgency);
   }
 
   /**
-   * A turn at a server that has said nothing for a while, so that the end of its
-   * limit is heard of; only at the host that gives the turns.
+   * Grants a permit at a server whose limit was not reported for a while, so that
+   * the end of the limit is noticed. Only the holder grants these.
    */
   probe(service: string, limited: readonly LimitedServer[]): TurnReply {
     const isHolder = this.#lenders.holder(service) === this.#parts.host;
     const due = isHolder
-      ? this.#silentFor(limited, PROBE_MILLISECONDS.holder)
+      ? this.#withoutReportFor(limited, PROBE_INTERVAL_MILLISECONDS.holder)
       : [];
     return due.length === 0
-      ? { kind: "wait", milliseconds: PROBE_MILLISECONDS.holder }
+      ? { kind: "wait", milliseconds: PROBE_INTERVAL_MILLISECONDS.holder }
       : this.give({ service, servers: idsOf(due), urgency: "urgent" });
   }
 
-  /** Servers that nobody has heard for so long that any host may ask for a probe. */
+  /**
+   * Returns the servers whose limit was not reported for so long that any host may
+   * request a permit for a probe.
+   */
   unheard<Server extends LimitedServer>(
     limited: readonly Server[],
   ): readonly Server[] {
-    return this.#silentFor(limited, PROBE_MILLISECONDS.others);
+    return this.#withoutReportFor(limited, PROBE_INTERVAL_MILLISECONDS.others);
   }
 
   /**
-   * Time after which a caller may come back that got no turn, in milliseconds; each
-   * one is told a turn of its own.
+   * Returns the delay after which a caller that got no permit may retry, in
+   * milliseconds. Each caller gets the time of a permit of its own.
    */
   waitToTell(service: string, limited: readonly LimitedServer[]): number {
     const perSecond = limited.reduce(
       (sum, server) =>
-        sum + Math.max(LEAST_PER_SECOND, this.limitOf(server) ?? 0),
+        sum + Math.max(MINIMUM_PERMITS_PER_SECOND, this.limitOf(server) ?? 0),
       0,
     );
     const share = { perSecond, hosts: this.#parts.hosts() };
     return this.#waits.tell(service, share, this.#parts.clock.now());
   }
 
-  /** A life of a server is over. */
+  /** Removes the state of an incarnation that has ended. */
   forget({ entry }: LimitedServer): void {
-    this.#book.forget(entry);
+    this.#limitTable.forget(entry);
     this.#ledger.forget(nameOfLife(entry));
   }
 
-  /** Shows the free turns of the servers whose turns this host gives. */
-  #countFree(services: readonly string[]): void {
-    if (this.#book.isEmpty) return;
+  /**
+   * Updates the metric of free permits for the servers of which this host is the
+   * holder.
+   */
+  #measureFreePermits(services: readonly string[]): void {
+    if (this.#limitTable.isEmpty) return;
     const { metrics, host } = this.#parts;
     const free = services
       .filter((service) => this.#lenders.holder(service) === host)
       .flatMap((service) => {
         const owners = this.#ownersOf(service);
-        return this.#book.lives
+        return this.#limitTable.incarnations
           .filter(({ id }) => this.#serviceOf(id) === service)
-          .slice(0, MOST_SHOWN_SERVERS)
+          .slice(0, MAXIMUM_MEASURED_SERVERS)
           .flatMap(({ id }) => this.#termsOf(id, owners) ?? []);
       })
-      .map(({ id, terms }) => [id, this.#ledger.free(terms)] as const);
+      .map(({ id, terms }) => [id, this.#ledger.freePermits(terms)] as const);
     metrics.byServer("turns_free", new Map(free));
   }
 
-  #ownersOf(service: string): SlotOwners {
+  #ownersOf(service: string): TimeSlotOwners {
     const parts = this.#parts;
     const now = parts.cautiousClock.now();
     return this.#lenders.owners(service, now, parts.pace());
@@ -285,24 +314,29 @@
     return this.#parts.server(id)?.entry.service;
   }
 
-  /** The turns of a server; `undefined` where it needs none. */
-  #termsOf(id: string, owners: SlotOwners): AskedServer | undefined {
+  /**
+   * The terms of a server's permits; `undefined` if it is unknown or has no limit.
+   */
+  #termsOf(id: string, owners: TimeSlotOwners): QueriedServer | undefined {
     const server = this.#parts.server(id);
     const perSecond = server === undefined ? undefined : this.limitOf(server);
     if (server === undefined || perSecond === undefined) return undefined;
-    const life = nameOfLife(server.entry);
+    const incarnationName = nameOfLife(server.entry);
     const time = this.#parts.agreedTime();
-    return { id, terms: { life, perSecond, time, owners } };
+    return { id, terms: { life: incarnationName, perSecond, time, owners } };
   }
 
-  #giveFirst(asked: readonly AskedServer[], urgency: TurnUrgency): TurnReply {
-    // Who has most turns left is asked least.
-    const ranked = asked
-      .map((one) => ({ ...one, free: this.#ledger.free(one.terms) }))
+  #grantFirst(
+    queried: readonly QueriedServer[],
+    urgency: TurnUrgency,
+  ): TurnReply {
+    // The server with the most free permits is used least.
+    const ranked = queried
+      .map((one) => ({ ...one, free: this.#ledger.freePermits(one.terms) }))
       .toSorted((left, right) => right.free - left.free);
     const waits: number[] = [];
     const given = ranked.find(({ terms }) => {
-      const outcome: TurnOutcome = this.#ledger.give(terms, urgency);
+      const outcome: PermitOutcome = this.#ledger.give(terms, urgency);
       if (outcome.kind === "wait") waits.push(outcome.milliseconds);
       return outcome.kind === "given";
     });
@@ -312,7 +346,7 @@
       : { kind: "wait", milliseconds: Math.min(...waits) };
   }
 
-  #noted(service: string, reply: TurnReply): TurnReply {
+  #recordReply(service: string, reply: TurnReply): TurnReply {
     const { clock, metrics } = this.#parts;
     metrics.event(`turn_${reply.kind === "given" ? "given" : "refused"}`);
     if (reply.kind === "wait") {
@@ -321,21 +355,23 @@
     return reply;
   }
 
-  #silentFor<Server extends LimitedServer>(
+  #withoutReportFor<Server extends LimitedServer>(
     limited: readonly Server[],
     milliseconds: number,
   ): readonly Server[] {
     const now = this.#parts.clock.now();
     return limited.filter(
-      ({ entry }) => this.#book.ageOf(entry, now) >= milliseconds,
+      ({ entry }) => this.#limitTable.advertisedAge(entry, now) >= milliseconds,
     );
   }
 
-  /** Services of the servers that are known to have a limit. */
+  /** Services of the servers that have a limit or had one recently. */
   #limitedServices(): readonly string[] {
     return [
       ...new Set(
-        this.#book.lives.flatMap(({ id }) => this.#serviceOf(id) ?? []),
+        this.#limitTable.incarnations.flatMap(
+          ({ id }) => this.#serviceOf(id) ?? [],
+        ),
       ),
     ];
   }
--- a/packages/rampswitch-serving/src/server_limits/server_permits_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/server_permits_test.ts
@@ -11,13 +11,13 @@
 } from "./server_permits.ts";
 
 const SERVICE = "models";
-const PACE = { silence: 700, interval: 250 };
+const INTERVALS = { silence: 700, interval: 250 };
 const SERVERS: readonly LimitedServer[] = ["s0", "s1", "s2"].map((id) => ({
   entry: { id, born: 7, service: SERVICE },
 }));
 const [LIMITED = { entry: { id: "", born: 0, service: "" } }] = SERVERS;
 
-/** A question for a turn at all servers. */
+/** A query for a permit at one of all servers. */
 const REQUEST: TurnRequest = {
   service: SERVICE,
   servers: ["s0", "s1", "s2"],
@@ -27,15 +27,15 @@
 interface Fleet {
   readonly clock: ManualClock;
   readonly hosts: ReadonlyMap<string, ServerTurns>;
-  /** Whether questions are answered. */
+  /** Whether the holder answers queries. */
   answers: boolean;
-  questions: number;
+  queries: number;
 }
 
 function fleet(names: readonly string[]): Fleet {
   const clock = new ManualClock();
   const hosts = new Map<string, ServerTurns>();
-  const state: Fleet = { clock, hosts, answers: true, questions: 0 };
+  const state: Fleet = { clock, hosts, answers: true, queries: 0 };
   names.forEach((host) =>
     hosts.set(
       host,
@@ -46,13 +46,13 @@
         logger: SILENT_LOGGER,
         metrics: new ServingMetrics(),
         agreedTime: () => clock.now(),
-        pace: () => PACE,
+        pace: () => INTERVALS,
         hosts: () => names.length,
         server: (id) => SERVERS.find(({ entry }) => entry.id === id),
         ask: (holder, request): Promise<TurnReply | undefined> => {
-          state.questions += 1;
-          const asked = state.answers ? hosts.get(holder) : undefined;
-          return Promise.resolve(asked?.give(request));
+          state.queries += 1;
+          const holderHost = state.answers ? hosts.get(holder) : undefined;
+          return Promise.resolve(holderHost?.give(request));
         },
         tell: () => undefined,
       }),
@@ -61,27 +61,27 @@
   return state;
 }
 
-/** Some rounds of the news. */
+/** Passes some gossip intervals. */
 function rounds({ clock, hosts }: Fleet, count: number): void {
   const holders = [...hosts.keys()];
   for (let round = 0; round < count; round += 1) {
-    clock.advance(PACE.interval);
+    clock.advance(INTERVALS.interval);
     hosts.forEach((from, name) => {
-      const news = from.news({ holders, tellsAll: true });
+      const update = from.news({ holders, tellsAll: true });
       hosts.forEach((to, other) => {
-        if (other !== name) to.heard(name, { ...news, stopping: false }, 0);
+        if (other !== name) to.heard(name, { ...update, stopping: false }, 0);
       });
     });
   }
 }
 
-/** The host that gives turns, and one that asks for them. */
+/** Returns the holder and the other host. */
 function rolesOf({ hosts }: Fleet): readonly [ServerTurns, ServerTurns] {
   const [, first] = [...hosts][0] ?? [];
   const [, second] = [...hosts][1] ?? [];
   if (first === undefined || second === undefined) throw new Error("two hosts");
-  const gives = first.give(REQUEST).kind === "given";
-  return gives ? [first, second] : [second, first];
+  const isFirstHolder = first.give(REQUEST).kind === "given";
+  return isFirstHolder ? [first, second] : [second, first];
 }
 
 function limitedFleet(perSecond: number): Fleet {
@@ -92,73 +92,73 @@
   return state;
 }
 
-describe("turns of a fleet", () => {
-  test("are asked of the host that gives them", async () => {
+describe("permits of a fleet", () => {
+  test("are requested from the holder", async () => {
     const state = limitedFleet(5);
-    const [, asks] = rolesOf(state);
+    const [, other] = rolesOf(state);
     rounds(state, 4);
-    const reply = await asks.take(REQUEST);
+    const reply = await other.take(REQUEST);
     expect(reply.kind).toBe("given");
-    expect(state.questions).toBe(1);
+    expect(state.queries).toBe(1);
   });
 
-  test("are not asked for again before the next one is free", async () => {
+  test("are not requested again before the next one is free", async () => {
     const state = limitedFleet(1);
-    const [, asks] = rolesOf(state);
+    const [, other] = rolesOf(state);
     let reply: TurnReply = { kind: "given", server: "" };
-    while (reply.kind === "given") reply = await asks.take(REQUEST);
+    while (reply.kind === "given") reply = await other.take(REQUEST);
     expect(reply.milliseconds).toBeLessThanOrEqual(1_000);
-    const before = state.questions;
-    await asks.take(REQUEST);
-    expect(state.questions).toBe(before);
+    const before = state.queries;
+    await other.take(REQUEST);
+    expect(state.queries).toBe(before);
     state.clock.advance(500);
-    await asks.take(REQUEST);
-    expect(state.questions).toBe(before + 1);
+    await other.take(REQUEST);
+    expect(state.queries).toBe(before + 1);
   });
 
-  test("tell a refused caller when the next one is free", async () => {
+  test("are refused with a retry delay until the next one is free", async () => {
     const state = limitedFleet(0.25);
-    const [gives] = rolesOf(state);
+    const [holder] = rolesOf(state);
     let reply: TurnReply = { kind: "given", server: "" };
-    while (reply.kind === "given") reply = await gives.take(REQUEST);
-    // A slot of four seconds has just begun, or is about to end.
-    const told = gives.waitToTell(SERVICE, SERVERS);
-    expect(told).toBe(reply.milliseconds);
-    expect(gives.waitToTell(SERVICE, SERVERS)).toBeGreaterThan(told);
+    while (reply.kind === "given") reply = await holder.take(REQUEST);
+    // A time slot of four seconds has just begun, or is about to end.
+    const retryDelay = holder.waitToTell(SERVICE, SERVERS);
+    expect(retryDelay).toBe(reply.milliseconds);
+    expect(holder.waitToTell(SERVICE, SERVERS)).toBeGreaterThan(retryDelay);
   });
 
-  test("are none where the host that gives them is silent", async () => {
+  test("are not granted while the holder is unresponsive", async () => {
     const state = limitedFleet(5);
-    const [, asks] = rolesOf(state);
+    const [, other] = rolesOf(state);
     state.answers = false;
     rounds(state, 4);
-    expect((await asks.take(REQUEST)).kind).toBe("wait");
+    expect((await other.take(REQUEST)).kind).toBe("wait");
   });
 
-  test("are none for servers that are not known, or need none", () => {
+  test("are not granted for unknown servers and servers without a limit", () => {
     const state = limitedFleet(5);
-    const [gives] = rolesOf(state);
+    const [holder] = rolesOf(state);
     rounds(state, 4);
-    gives.forget(LIMITED);
-    expect(gives.give({ ...REQUEST, servers: ["gone", "s0"] }).kind).toBe(
+    holder.forget(LIMITED);
+    expect(holder.give({ ...REQUEST, servers: ["gone", "s0"] }).kind).toBe(
       "wait",
     );
   });
 
-  test("are given to a probe where a server has said nothing for long", () => {
+  test("are granted for a probe where a server's limit was not reported for long", () => {
     const state = limitedFleet(5);
-    const [gives, asks] = rolesOf(state);
-    gives.read(LIMITED, 5);
+    const [holder, other] = rolesOf(state);
+    holder.read(LIMITED, 5);
     rounds(state, 4);
-    expect(gives.probe(SERVICE, [LIMITED]).kind).toBe("wait");
+    expect(holder.probe(SERVICE, [LIMITED]).kind).toBe("wait");
     rounds(state, 8);
-    expect(asks.probe(SERVICE, [LIMITED]).kind).toBe("wait");
-    expect(gives.probe(SERVICE, [LIMITED])).toEqual({
+    expect(other.probe(SERVICE, [LIMITED]).kind).toBe("wait");
+    expect(holder.probe(SERVICE, [LIMITED])).toEqual({
       kind: "given",
       server: "s0",
     });
-    expect(asks.unheard([LIMITED])).toEqual([]);
+    expect(other.unheard([LIMITED])).toEqual([]);
     rounds(state, 12);
-    expect(asks.unheard([LIMITED])).toEqual([LIMITED]);
+    expect(other.unheard([LIMITED])).toEqual([LIMITED]);
   });
 });
