--- a/packages/rampswitch-serving/src/quarantine/fingerprint.ts
+++ b/packages/rampswitch-serving/src/quarantine/fingerprint.ts
@@ -1,79 +1,81 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What makes two requests the same one, whatever their ids and whichever host
- * they come to: method, host name, path with query, workspace and body.
+ * Fingerprints of requests. Two requests have the same fingerprint if their method,
+ * host name, path with query, workspace and body are equal, whatever their ids and
+ * whichever host receives them.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 import { hash32 } from "rampswitch-utils";
 
-/** The parts of a request that its fingerprint is taken of. */
+/** The parts of a request that its fingerprint covers. */
 export interface FingerprintedRequest {
   readonly method: string;
   readonly hostName: string;
   /** Path with the query. */
   readonly target: string;
-  /** Name of the workspace, where the request has a key. */
+  /** Name of the workspace, if the request has an API key. */
   readonly workspace: string | undefined;
   readonly body: Buffer | undefined;
 }
 
 /** Hexadecimal digits of a fingerprint's first part, a hash without the body. */
-const OUTLINE_DIGITS = 8;
+const HEAD_HASH_DIGITS = 8;
 
 /**
- * Hexadecimal digits of its second part, a hash of the body and the rest; 64 bits
- * keep two of some millions of requests apart.
+ * Hexadecimal digits of the second part, a hash that includes the body. With 64
+ * bits, collisions among some millions of requests are very unlikely.
  */
-const WHOLE_DIGITS = 16;
+const CONTENT_HASH_DIGITS = 16;
 
-/** Form of a fingerprint. */
+/** Pattern that all fingerprints match. */
 export const FINGERPRINT_PATTERN = /^[0-9a-f]{24}$/;
 
 /**
- * A request's fingerprint. Its parts are computed when they are first asked for:
- * the outline costs some hundred nanoseconds, the whole reads the body.
+ * The fingerprint of a request. Both parts are computed when they are first read:
+ * the head hash takes some hundred nanoseconds, the content hash reads the whole
+ * body.
  */
 export class Fingerprint {
   readonly #request: FingerprintedRequest;
-  #outline: string | undefined;
+  #headHash: string | undefined;
   #text: string | undefined;
 
   constructor(request: FingerprintedRequest) {
     this.#request = request;
   }
 
-  /** First part, by which most requests are told apart. */
-  get outline(): string {
-    this.#outline ??= hash32(this.#head())
+  /** First part, which differs between most requests. */
+  get headHash(): string {
+    this.#headHash ??= hash32(this.#headText())
       .toString(16)
-      .padStart(OUTLINE_DIGITS, "0");
-    return this.#outline;
+      .padStart(HEAD_HASH_DIGITS, "0");
+    return this.#headHash;
   }
 
-  /** The whole, in hexadecimal. */
+  /** The whole fingerprint, in hexadecimal. */
   get text(): string {
-    this.#text ??= `${this.outline}${this.#whole()}`;
+    this.#text ??= `${this.headHash}${this.#contentHash()}`;
     return this.#text;
   }
 
-  #head(): string {
+  #headText(): string {
     const { method, hostName, target, workspace, body } = this.#request;
     const length = body?.length ?? 0;
     return JSON.stringify([method, hostName, target, workspace, length]);
   }
 
-  #whole(): string {
-    const hash = createHash("sha256").update(this.#head());
+  #contentHash(): string {
+    const hash = createHash("sha256").update(this.#headText());
     const { body } = this.#request;
-    const whole = body === undefined ? hash : hash.update(body);
-    return whole.digest("hex").slice(0, WHOLE_DIGITS);
+    const complete = body === undefined ? hash : hash.update(body);
+    return complete.digest("hex").slice(0, CONTENT_HASH_DIGITS);
   }
 }
 
-/** The outline within a fingerprint's text. */
-export function outlineOf(fingerprint: string): string {
-  return fingerprint.slice(0, OUTLINE_DIGITS);
+/** Returns the head hash of a fingerprint's text. */
+export function headHashOf(fingerprint: string): string {
+  return fingerprint.slice(0, HEAD_HASH_DIGITS);
 }
--- a/packages/rampswitch-serving/src/quarantine/fingerprint_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/fingerprint_test.ts
@@ -5,7 +5,7 @@
   Fingerprint,
   FINGERPRINT_PATTERN,
   type FingerprintedRequest,
-  outlineOf,
+  headHashOf,
 } from "./fingerprint.ts";
 
 const REQUEST: FingerprintedRequest = {
@@ -38,10 +38,10 @@
     expect(textOf(changes)).not.toBe(textOf());
   });
 
-  test("has an outline that leaves the body's content out", () => {
+  test("has a head hash that leaves the content of the body out", () => {
     const fingerprint = new Fingerprint(REQUEST);
     const other = new Fingerprint({ ...REQUEST, body: Buffer.from("asker") });
-    expect(fingerprint.outline).toBe(other.outline);
-    expect(outlineOf(fingerprint.text)).toBe(fingerprint.outline);
+    expect(fingerprint.headHash).toBe(other.headHash);
+    expect(headHashOf(fingerprint.text)).toBe(fingerprint.headHash);
   });
 });
--- a/packages/rampswitch-serving/src/quarantine/mod.ts
+++ b/packages/rampswitch-serving/src/quarantine/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Requests under which backend servers end, and what is done about them.
+ * Quarantine of requests that are suspected to crash backend servers.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/quarantine/quarantine.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine.ts
@@ -1,41 +1,41 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The requests under which backend servers ended, as one host knows them: asked
- * before a send, told after a loss. A request that has lost three servers runs only
- * as a trial, at one host at a time, and the more rarely the more it has lost; one
- * whole answer frees it.
+ * The requests that are suspected to crash backend servers, as one host knows them.
+ * The quarantine is queried before a send and notified after a loss. A request that
+ * has lost three servers runs only as a trial, on one host at a time, and after a
+ * longer delay with each trial. One complete answer ends its quarantine.
  *
  * @module
  */
 import type { Clock, Logger } from "rampswitch-utils";
 import type { ServingMetrics } from "../observation/mod.ts";
-import { type Fingerprint, outlineOf } from "./fingerprint.ts";
+import { type Fingerprint, headHashOf } from "./fingerprint.ts";
 import {
   EMPTY_ENTRY,
-  forgottenAt,
-  isHeld,
+  retainedUntil,
+  isQuarantined,
   isStored,
   lastLossAt,
-  merged,
+  mergeEntries,
   type QuarantineEntry,
-  tellsMore,
-  tried,
-  trialDueAt,
+  addsInformation,
+  withTrial,
+  nextTrialAt,
 } from "./quarantine_entry.ts";
-import { SilentLosses } from "./unconfirmed_losses.ts";
+import { UnconfirmedLosses } from "./unconfirmed_losses.ts";
 
 /** Whether a request may be sent to a server. */
 export type QuarantineDecision =
   | { readonly kind: "free" }
-  /** It may run here as a trial, once. */
+  /** The request may run here as a trial, once. */
   | { readonly kind: "trial" }
   | { readonly kind: "held"; readonly waitMilliseconds: number };
 
-/** A time before now, in milliseconds, for hosts without a common clock. */
+/** Time since an event, in milliseconds, for hosts without a common clock. */
 export type Age = number;
 
-/** What hosts tell each other of one request. */
+/** What hosts report to each other about one request. */
 export interface QuarantineNews {
   readonly fingerprint: string;
   readonly lostLives: Readonly<Record<string, Age>>;
@@ -44,275 +44,311 @@
   readonly ranWhole: Age | undefined;
 }
 
-/** This host's place among those that may try a request. */
+/** This host's position among the hosts that may try a request. */
 export interface TrialTurn {
-  /** Hosts that come before this one. */
+  /** Number of hosts before this one. */
   readonly rank: number;
-  /** Time after which a host knows what another one began, in milliseconds. */
+  /**
+   * Time after which a host knows of a trial that another one began, in
+   * milliseconds.
+   */
   readonly lagMilliseconds: number;
 }
 
-/** What a quarantine works with. */
+/** Dependencies of a quarantine. */
 export interface QuarantineParts {
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  /** This host's turn to try a request; all hosts agree on the order. */
+  /**
+   * This host's position among the hosts that may try a request. All hosts agree on
+   * the order.
+   */
   turn(fingerprint: string): TrialTurn;
-  /** What the store keeps of a request has changed here. */
+  /** Called when a stored entry has changed on this host. */
   onStoredChange(): void;
 }
 
-/** A life of a server that ended. */
-export interface LostLife {
-  /** Names the life among all lives of all servers. */
+/** An incarnation of a server that ended. */
+export interface LostIncarnation {
+  /** Name of the incarnation, unique among all servers. */
   readonly life: string;
   /** When its end was announced, if it was. */
   readonly leavingSince: number | undefined;
 }
 
-/** Requests that are kept; one takes some 300 bytes. */
-const MOST_ENTRIES = 2_000;
+/** Maximum number of entries; one takes some 300 bytes. */
+const MAXIMUM_ENTRIES = 2_000;
 
-/** Entries that are given up together, so that a flood seldom sorts. */
-const GIVEN_UP_TOGETHER = 200;
+/**
+ * Number of entries that are evicted together, so that a burst of losses seldom
+ * sorts the entries.
+ */
+const EVICTION_BATCH_ENTRIES = 200;
 
-/** A change is told for this time, in milliseconds: some lost messages. */
-const TOLD_MILLISECONDS = 3_000;
+/**
+ * Time for which a change is reported, in milliseconds. It covers some lost
+ * messages.
+ */
+const REPORT_LIFETIME_MILLISECONDS = 3_000;
 
-/** Requests in one message and in the store; those with most losses come first. */
-const MOST_TOLD = 32;
+/**
+ * Maximum number of requests in one message and in the store; those with most
+ * losses come first.
+ */
+const MAXIMUM_REPORTED_REQUESTS = 32;
 
-/** The order of hosts is taken anew after this time, in milliseconds. */
-const TURN_MILLISECONDS = 2_000;
+/**
+ * Time for which this host's position in the order of hosts is cached, in
+ * milliseconds.
+ */
+const TRIAL_RANK_CACHE_MILLISECONDS = 2_000;
 
 const FREE: QuarantineDecision = { kind: "free" };
 const TRIAL: QuarantineDecision = { kind: "trial" };
 
-interface KnownRequest {
+interface TrackedRequest {
   readonly entry: QuarantineEntry;
-  /** When the entry last told something new. */
+  /** When the entry last changed. */
   readonly changedAt: number;
 }
 
-interface KnownTurn {
-  readonly turn: TrialTurn;
+interface CachedTrialRank {
+  readonly trialRank: TrialTurn;
   readonly at: number;
 }
 
-/** Requests under which servers ended. */
+/** The requests that are suspected to crash servers. */
 export class Quarantine {
   readonly #parts: QuarantineParts;
-  readonly #requests = new Map<string, KnownRequest>();
-  /** Number of requests with each outline. */
-  readonly #outlines = new Map<string, number>();
-  readonly #turns = new Map<string, KnownTurn>();
-  readonly #silent = new SilentLosses();
+  readonly #requests = new Map<string, TrackedRequest>();
+  /** Number of tracked requests, by head hash. */
+  readonly #headHashCounts = new Map<string, number>();
+  readonly #trialRanks = new Map<string, CachedTrialRank>();
+  readonly #unconfirmedLosses = new UnconfirmedLosses();
 
   constructor(parts: QuarantineParts) {
     this.#parts = parts;
   }
 
-  /** Whether a request may be sent now; changes nothing. */
+  /** Returns whether a request may be sent now; has no side effects. */
   decide(request: Fingerprint): QuarantineDecision {
-    const entry = this.#heldEntryOf(request);
+    const entry = this.#quarantinedEntryOf(request);
     if (entry === undefined) return FREE;
     const now = this.#parts.clock.now();
-    const { rank, lagMilliseconds } = this.#turn(request.text, now);
-    // Hosts take their turns one lag apart: who comes later has heard of a trial.
-    const dueAt = trialDueAt(entry) + rank * lagMilliseconds;
+    const { rank, lagMilliseconds } = this.#trialRankOf(request.text, now);
+    // Hosts may start the trial one propagation time after one another, so each has
+    // received the trials of the hosts before it.
+    const dueAt = nextTrialAt(entry) + rank * lagMilliseconds;
     return now >= dueAt
       ? TRIAL
       : { kind: "held", waitMilliseconds: dueAt - now };
   }
 
-  /** The same for a request that is sent now; a trial has begun with it. */
+  /**
+   * Like {@link decide}, for a request that is sent now. If it is a trial, the
+   * trial begins.
+   */
   begin(request: Fingerprint): QuarantineDecision {
     const decision = this.decide(request);
     if (decision.kind !== "trial") return decision;
     const entry = this.#entryOf(request) ?? EMPTY_ENTRY;
-    this.#take(request.text, tried(entry, this.#parts.clock.now()));
+    this.#merge(request.text, withTrial(entry, this.#parts.clock.now()));
     this.#parts.metrics.event("quarantine_trial");
-    this.#tell("quarantined request on trial", request.text);
+    this.#log("quarantined request on trial", request.text);
     return decision;
   }
 
-  /** Whether a request must not be sent a further time in the same attempt. */
+  /** Whether a request must not be resent within the same attempt. */
   forbidsRepeat(request: Fingerprint): boolean {
-    return this.#heldEntryOf(request) !== undefined;
+    return this.#quarantinedEntryOf(request) !== undefined;
   }
 
-  /** A server's connection broke under a request that it had begun. */
-  lost(request: Fingerprint, { life, leavingSince }: LostLife): void {
-    // An end that was announced has another cause.
+  /**
+   * Records that the connection to a server broke after the server had begun the
+   * request.
+   */
+  lost(request: Fingerprint, { life, leavingSince }: LostIncarnation): void {
+    // An announced end was not caused by the request.
     if (leavingSince !== undefined) return;
-    this.#lostLife(request.text, life, this.#parts.clock.now());
+    this.#countLoss(request.text, life, this.#parts.clock.now());
   }
 
-  /** A server fell silent under a request; it may have ended. */
-  silent(request: Fingerprint, { life, leavingSince }: LostLife): void {
+  /**
+   * Records that a server became unresponsive while it ran a request. The server
+   * may have ended.
+   */
+  silent(request: Fingerprint, { life, leavingSince }: LostIncarnation): void {
     if (leavingSince !== undefined) return;
-    this.#silent.add(life, request.text, this.#parts.clock.now());
+    this.#unconfirmedLosses.add(life, request.text, this.#parts.clock.now());
   }
 
-  /** A life of a server has ended without an announcement. */
+  /** Records that an incarnation of a server ended without an announcement. */
   lifeEnded(life: string): void {
-    this.#silent
+    this.#unconfirmedLosses
       .take(life, this.#parts.clock.now())
-      .forEach(({ fingerprint, at }) => this.#lostLife(fingerprint, life, at));
+      .forEach(({ fingerprint, at }) => this.#countLoss(fingerprint, life, at));
   }
 
-  /** A request ran to its end, so it does not end servers. */
+  /** Records that a request completed, which shows that it does not crash servers. */
   ranWhole(request: Fingerprint): void {
-    const before = this.#entryOf(request);
-    if (before === undefined) return;
-    const ranWholeAt = this.#parts.clock.now();
-    this.#take(request.text, { ...EMPTY_ENTRY, ranWholeAt });
-    if (!isHeld(before)) return;
+    const previous = this.#entryOf(request);
+    if (previous === undefined) return;
+    const completedAt = this.#parts.clock.now();
+    this.#merge(request.text, { ...EMPTY_ENTRY, completedAt });
+    if (!isQuarantined(previous)) return;
     this.#parts.metrics.event("quarantine_freed");
-    this.#tell("quarantined request freed", request.text);
-    if (isStored(before)) this.#parts.onStoredChange();
+    this.#log("quarantined request freed", request.text);
+    if (isStored(previous)) this.#parts.onStoredChange();
   }
 
-  /** What to tell the other hosts now. */
+  /** Returns what to report to the other hosts now. */
   news(): readonly QuarantineNews[] {
     const now = this.#parts.clock.now();
-    this.#forgetOld(now);
-    return this.#foremost(
+    this.#removeExpired(now);
+    return this.#mostImportant(
       now,
       ({ entry, changedAt }) =>
-        isHeld(entry) || now - changedAt < TOLD_MILLISECONDS,
+        isQuarantined(entry) || now - changedAt < REPORT_LIFETIME_MILLISECONDS,
     );
   }
 
-  /** Takes in what another host told. */
-  heard(news: readonly QuarantineNews[]): void {
+  /** Receives what another host reported. */
+  heard(updates: readonly QuarantineNews[]): void {
     const now = this.#parts.clock.now();
-    news
-      .slice(0, MOST_TOLD)
-      .forEach((one) => this.#take(one.fingerprint, entryOf(one, now)));
+    updates
+      .slice(0, MAXIMUM_REPORTED_REQUESTS)
+      .forEach((one) => this.#merge(one.fingerprint, entryOf(one, now)));
   }
 
-  /** The requests that the store is to keep. */
+  /** Returns the requests to store. */
   stored(): readonly QuarantineNews[] {
     const now = this.#parts.clock.now();
-    return this.#foremost(now, ({ entry }) => isStored(entry));
+    return this.#mostImportant(now, ({ entry }) => isStored(entry));
   }
 
-  /** Those to tell of, as many as fit into one message. */
-  #foremost(
+  /**
+   * Returns the selected requests with most losses, as many as fit into one
+   * message.
+   */
+  #mostImportant(
     now: number,
-    isTold: (known: KnownRequest) => boolean,
+    isReported: (known: TrackedRequest) => boolean,
   ): readonly QuarantineNews[] {
     return [...this.#requests]
-      .filter(([, known]) => isTold(known))
-      .toSorted(([, left], [, right]) => mostImportantFirst(left, right))
-      .slice(0, MOST_TOLD)
-      .map(([fingerprint, { entry }]) => newsOf(fingerprint, entry, now));
+      .filter(([, known]) => isReported(known))
+      .toSorted(([, left], [, right]) => byImportance(left, right))
+      .slice(0, MAXIMUM_REPORTED_REQUESTS)
+      .map(([fingerprint, { entry }]) => updateOf(fingerprint, entry, now));
   }
 
-  #lostLife(fingerprint: string, life: string, at: number): void {
-    const before = this.#requests.get(fingerprint)?.entry ?? EMPTY_ENTRY;
-    this.#take(fingerprint, {
+  #countLoss(fingerprint: string, incarnation: string, at: number): void {
+    const previous = this.#requests.get(fingerprint)?.entry ?? EMPTY_ENTRY;
+    this.#merge(fingerprint, {
       ...EMPTY_ENTRY,
-      lostLives: new Map([[life, at]]),
+      lostIncarnations: new Map([[incarnation, at]]),
     });
-    const after = this.#requests.get(fingerprint)?.entry ?? EMPTY_ENTRY;
-    if (!tellsMore(after, before)) return;
+    const current = this.#requests.get(fingerprint)?.entry ?? EMPTY_ENTRY;
+    if (!addsInformation(current, previous)) return;
     this.#parts.metrics.event("quarantine_loss");
-    this.#tell("server ended under a request", fingerprint, life);
-    if (isStored(after)) this.#parts.onStoredChange();
+    this.#log("server ended under a request", fingerprint, incarnation);
+    if (isStored(current)) this.#parts.onStoredChange();
   }
 
   #entryOf(request: Fingerprint): QuarantineEntry | undefined {
-    // Requests are hashed only while some are known, and whole only if like one.
+    // Requests are hashed only while any are tracked, and their bodies only if the
+    // head hash matches.
     if (this.#requests.size === 0) return undefined;
-    if (!this.#outlines.has(request.outline)) return undefined;
+    if (!this.#headHashCounts.has(request.headHash)) return undefined;
     return this.#requests.get(request.text)?.entry;
   }
 
-  #heldEntryOf(request: Fingerprint): QuarantineEntry | undefined {
+  #quarantinedEntryOf(request: Fingerprint): QuarantineEntry | undefined {
     const entry = this.#entryOf(request);
-    return entry !== undefined && isHeld(entry) ? entry : undefined;
+    return entry !== undefined && isQuarantined(entry) ? entry : undefined;
   }
 
-  #take(fingerprint: string, told: QuarantineEntry): void {
+  #merge(fingerprint: string, received: QuarantineEntry): void {
     const now = this.#parts.clock.now();
-    const known = this.#requests.get(fingerprint);
-    const before = known?.entry ?? EMPTY_ENTRY;
-    const entry = merged(before, told);
-    if (!tellsMore(entry, before) || forgottenAt(entry) <= now) return;
-    if (known === undefined) this.#countOutline(fingerprint, 1);
+    const tracked = this.#requests.get(fingerprint);
+    const previous = tracked?.entry ?? EMPTY_ENTRY;
+    const entry = mergeEntries(previous, received);
+    if (!addsInformation(entry, previous) || retainedUntil(entry) <= now)
+      return;
+    if (tracked === undefined) this.#countHeadHash(fingerprint, 1);
     this.#requests.set(fingerprint, { entry, changedAt: now });
-    this.#giveUpLeast();
+    this.#evictLeastImportant();
   }
 
-  /** Gives up entries when there are too many: those with fewest losses first. */
-  #giveUpLeast(): void {
-    if (this.#requests.size <= MOST_ENTRIES) return;
+  /** Evicts entries when there are too many, those with fewest losses first. */
+  #evictLeastImportant(): void {
+    if (this.#requests.size <= MAXIMUM_ENTRIES) return;
     [...this.#requests]
-      .toSorted(([, left], [, right]) => mostImportantFirst(left, right))
-      .slice(MOST_ENTRIES - GIVEN_UP_TOGETHER)
-      .forEach(([fingerprint]) => this.#forget(fingerprint));
+      .toSorted(([, left], [, right]) => byImportance(left, right))
+      .slice(MAXIMUM_ENTRIES - EVICTION_BATCH_ENTRIES)
+      .forEach(([fingerprint]) => this.#remove(fingerprint));
   }
 
-  #forgetOld(now: number): void {
+  #removeExpired(now: number): void {
     [...this.#requests]
-      .filter(([, { entry }]) => forgottenAt(entry) <= now)
-      .forEach(([fingerprint]) => this.#forget(fingerprint));
-    const held = [...this.#requests.values()].filter(({ entry }) =>
-      isHeld(entry),
+      .filter(([, { entry }]) => retainedUntil(entry) <= now)
+      .forEach(([fingerprint]) => this.#remove(fingerprint));
+    const quarantined = [...this.#requests.values()].filter(({ entry }) =>
+      isQuarantined(entry),
     );
-    this.#parts.metrics.gauge("quarantined_requests", held.length);
+    this.#parts.metrics.gauge("quarantined_requests", quarantined.length);
   }
 
-  #forget(fingerprint: string): void {
+  #remove(fingerprint: string): void {
     this.#requests.delete(fingerprint);
-    this.#turns.delete(fingerprint);
-    this.#countOutline(fingerprint, -1);
+    this.#trialRanks.delete(fingerprint);
+    this.#countHeadHash(fingerprint, -1);
   }
 
-  #countOutline(fingerprint: string, change: number): void {
-    const outline = outlineOf(fingerprint);
-    const count = (this.#outlines.get(outline) ?? 0) + change;
-    if (count === 0) this.#outlines.delete(outline);
-    else this.#outlines.set(outline, count);
+  #countHeadHash(fingerprint: string, change: number): void {
+    const headHash = headHashOf(fingerprint);
+    const count = (this.#headHashCounts.get(headHash) ?? 0) + change;
+    if (count === 0) this.#headHashCounts.delete(headHash);
+    else this.#headHashCounts.set(headHash, count);
   }
 
-  #turn(fingerprint: string, now: number): TrialTurn {
-    const known = this.#turns.get(fingerprint);
-    if (known !== undefined && now - known.at < TURN_MILLISECONDS) {
-      return known.turn;
+  #trialRankOf(fingerprint: string, now: number): TrialTurn {
+    const cached = this.#trialRanks.get(fingerprint);
+    if (
+      cached !== undefined &&
+      now - cached.at < TRIAL_RANK_CACHE_MILLISECONDS
+    ) {
+      return cached.trialRank;
     }
-    const turn = this.#parts.turn(fingerprint);
-    this.#turns.set(fingerprint, { turn, at: now });
-    return turn;
+    const trialRank = this.#parts.turn(fingerprint);
+    this.#trialRanks.set(fingerprint, { trialRank, at: now });
+    return trialRank;
   }
 
-  #tell(message: string, fingerprint: string, life?: string): void {
+  #log(message: string, fingerprint: string, incarnation?: string): void {
     const entry = this.#requests.get(fingerprint)?.entry ?? EMPTY_ENTRY;
     const now = this.#parts.clock.now();
-    const wait = trialDueAt(entry) - now;
+    const wait = nextTrialAt(entry) - now;
     this.#parts.logger.info(message, {
       fingerprint,
-      life,
-      lostServers: entry.lostLives.size,
+      life: incarnation,
+      lostServers: entry.lostIncarnations.size,
       lostAge: rounded(now - lastLossAt(entry)),
-      triedAge: rounded(now - entry.triedAt),
+      triedAge: rounded(now - entry.lastTrialAt),
       trialInMilliseconds: rounded(wait),
     });
   }
 }
 
-function mostImportantFirst(left: KnownRequest, right: KnownRequest): number {
+function byImportance(left: TrackedRequest, right: TrackedRequest): number {
   return (
-    right.entry.lostLives.size - left.entry.lostLives.size ||
+    right.entry.lostIncarnations.size - left.entry.lostIncarnations.size ||
     right.changedAt - left.changedAt
   );
 }
 
-function newsOf(
+function updateOf(
   fingerprint: string,
   entry: QuarantineEntry,
   now: number,
@@ -320,29 +356,29 @@
   return {
     fingerprint,
     lostLives: Object.fromEntries(
-      [...entry.lostLives].map(([life, at]) => [life, now - at]),
+      [...entry.lostIncarnations].map(([life, at]) => [life, now - at]),
     ),
-    tried: ageOf(entry.triedAt, now),
+    tried: ageOf(entry.lastTrialAt, now),
     trials: entry.trials,
-    ranWhole: ageOf(entry.ranWholeAt, now),
+    ranWhole: ageOf(entry.completedAt, now),
   };
 }
 
-function entryOf(news: QuarantineNews, now: number): QuarantineEntry {
+function entryOf(update: QuarantineNews, now: number): QuarantineEntry {
   return {
-    lostLives: new Map(
-      Object.entries(news.lostLives).map(([life, age]) => [
+    lostIncarnations: new Map(
+      Object.entries(update.lostLives).map(([life, age]) => [
         life,
         timeOf(age, now),
       ]),
     ),
-    triedAt: timeOf(news.tried, now),
-    trials: news.trials,
-    ranWholeAt: timeOf(news.ranWhole, now),
+    lastTrialAt: timeOf(update.tried, now),
+    trials: update.trials,
+    completedAt: timeOf(update.ranWhole, now),
   };
 }
 
-/** Clocks that went wrong must not tell of times to come. */
+/** An age below zero comes from a wrong clock and must not yield a future time. */
 function timeOf(age: Age | undefined, now: number): number {
   return now - Math.max(0, age ?? Infinity);
 }
--- a/packages/rampswitch-serving/src/quarantine/quarantine_entry.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_entry.ts
@@ -1,153 +1,195 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What is known of one request under which backend servers ended, and when it may
- * run next. Pure: entries of all hosts merge to the same one, in whatever order
- * and however often they come.
+ * The losses, trials and completions of one request that is suspected to crash
+ * backend servers, and when it may run next. Pure: the entries of all hosts merge
+ * to the same one, in any order and however often each is received.
  *
  * @module
  */
 
-/** One request that is suspected to crash servers. All times on one steady clock. */
+/**
+ * One request that is suspected to crash servers. All times are in milliseconds on
+ * one monotonic clock.
+ */
 export interface QuarantineEntry {
   /**
-   * Lives of servers that ended under the request since it last ran whole, and
-   * when. Lives and not servers: one that crashed is back after seconds.
+   * Incarnations of servers that ended while they ran the request, since it last
+   * completed, each with the time of its end. Incarnations are counted and not
+   * servers, because a server that crashed restarts after some seconds.
    */
-  readonly lostLives: ReadonlyMap<string, number>;
-  /** When a trial of it last began; `-Infinity` before the first. */
-  readonly triedAt: number;
-  /** Trials that began since it last ran whole. */
+  readonly lostIncarnations: ReadonlyMap<string, number>;
+  /** Start of the last trial; `-Infinity` before the first one. */
+  readonly lastTrialAt: number;
+  /** Number of trials since the request last completed. */
   readonly trials: number;
-  /** When it last ran whole; `-Infinity` if it never did. */
-  readonly ranWholeAt: number;
+  /** Time when the request last completed; `-Infinity` if it never did. */
+  readonly completedAt: number;
 }
 
-/** An entry of which nothing is known yet. */
+/** An entry without losses, trials and completions. */
 export const EMPTY_ENTRY: QuarantineEntry = {
-  lostLives: new Map(),
-  triedAt: -Infinity,
+  lostIncarnations: new Map(),
+  lastTrialAt: -Infinity,
   trials: 0,
-  ranWholeAt: -Infinity,
+  completedAt: -Infinity,
 };
 
 /**
- * Lost servers from which a request runs as a trial only, and the store keeps it, so
- * that it outlasts the hosts. One or two say little: up to `slots` requests break
- * with each server, and a stream may lose two.
+ * Number of lost servers from which a request runs only as a trial and is kept in
+ * the store, so that its quarantine survives the end of all hosts. One or two
+ * losses are weak evidence: up to `slots` requests break off with each server, and
+ * a stream may lose two servers.
  */
-const LOSSES_TO_HOLD = 3;
+const MINIMUM_LOSSES_TO_QUARANTINE = 3;
 
 /**
- * Time until the next trial by trials so far, in milliseconds. Not by lost servers,
- * since an outage ends many under one popular request. Each trial most likely costs
- * a server and all that runs there, so they come ten times as rarely each time. The
- * last wait stands for all later ones.
+ * Time until the next trial, by the number of trials so far, in milliseconds. It
+ * does not depend on the number of lost servers, since an outage ends many servers
+ * under one popular request. Each trial most likely costs a server and all requests
+ * that run there, so each interval is ten times the one before. The last interval
+ * applies to all later trials.
  */
-const TRIAL_WAITS: readonly number[] = [4_000, 40_000, 400_000];
+const TRIAL_DELAYS_MILLISECONDS: readonly number[] = [4_000, 40_000, 400_000];
 
-/** An entry is forgotten after this time without news, in milliseconds. */
-const REMEMBERED_MILLISECONDS = 60_000;
+/** Time without a change after which an entry is removed, in milliseconds. */
+const ENTRY_RETENTION_MILLISECONDS = 60_000;
 
-/** The same for what the store keeps: several times the longest wait. */
-export const STORED_MILLISECONDS = 3_600_000;
+/**
+ * The same for stored entries, in milliseconds: several times the longest interval
+ * between trials.
+ */
+export const STORED_ENTRY_RETENTION_MILLISECONDS = 3_600_000;
 
 /**
- * Difference of two times that hosts tell of the same moment, in milliseconds.
- * Without it a time that is told back and forth grows with each message.
+ * Maximum difference between two times of the same event, in milliseconds. Hosts
+ * exchange ages, and each conversion adds an error. Without this tolerance, a time
+ * that is passed back and forth grows with each message.
  */
-const TOLD_TOLERANCE_MILLISECONDS = 200;
+const TIME_TOLERANCE_MILLISECONDS = 200;
 
-/** Lost lives that an entry keeps, the newest ones; more change nothing. */
-const KEPT_LIVES = 8;
+/**
+ * Maximum number of lost incarnations in an entry. The newest ones are retained;
+ * more have no effect.
+ */
+const MAXIMUM_LOST_INCARNATIONS = 8;
 
-/** Joins what two hosts know of one request. */
-export function merged(
-  known: QuarantineEntry,
-  heard: QuarantineEntry,
+/** Merges the entries that two hosts have for one request. */
+export function mergeEntries(
+  local: QuarantineEntry,
+  received: QuarantineEntry,
 ): QuarantineEntry {
-  const ranWholeAt = isLater(heard.ranWholeAt, known.ranWholeAt)
-    ? heard.ranWholeAt
-    : known.ranWholeAt;
-  const lives = [...known.lostLives, ...heard.lostLives].reduce(
-    (joined, [life, at]) =>
-      joined.set(life, Math.min(at, joined.get(life) ?? Infinity)),
+  const completedAt = isLater(received.completedAt, local.completedAt)
+    ? received.completedAt
+    : local.completedAt;
+  const losses = [
+    ...local.lostIncarnations,
+    ...received.lostIncarnations,
+  ].reduce(
+    (joined, [incarnation, at]) =>
+      joined.set(
+        incarnation,
+        Math.min(at, joined.get(incarnation) ?? Infinity),
+      ),
     new Map<string, number>(),
   );
-  const counted = [...lives]
-    .filter(([, at]) => at > ranWholeAt)
+  const counted = [...losses]
+    .filter(([, at]) => at > completedAt)
     .toSorted(([left, before], [right, after]) =>
       before === after ? (left < right ? -1 : 1) : before - after,
     );
-  const { triedAt, trials } = newestTrial(known, heard);
+  const { lastTrialAt, trials } = newestTrial(local, received);
   return {
-    ranWholeAt,
-    triedAt,
-    trials: triedAt > ranWholeAt ? trials : 0,
-    lostLives: new Map(counted.slice(-KEPT_LIVES)),
+    completedAt,
+    lastTrialAt,
+    trials: lastTrialAt > completedAt ? trials : 0,
+    lostIncarnations: new Map(counted.slice(-MAXIMUM_LOST_INCARNATIONS)),
   };
 }
 
-/** Whether an entry tells something that another one does not. */
-export function tellsMore(
+/** Whether an entry holds anything that a previous one does not. */
+export function addsInformation(
   entry: QuarantineEntry,
-  before: QuarantineEntry,
+  previous: QuarantineEntry,
 ): boolean {
   return (
-    entry.ranWholeAt !== before.ranWholeAt ||
-    entry.triedAt !== before.triedAt ||
-    entry.trials !== before.trials ||
-    [...entry.lostLives.keys()].some((life) => !before.lostLives.has(life))
+    entry.completedAt !== previous.completedAt ||
+    entry.lastTrialAt !== previous.lastTrialAt ||
+    entry.trials !== previous.trials ||
+    [...entry.lostIncarnations.keys()].some(
+      (incarnation) => !previous.lostIncarnations.has(incarnation),
+    )
   );
 }
 
-/** Whether the request runs as a trial only. */
-export function isHeld({ lostLives }: QuarantineEntry): boolean {
-  return lostLives.size >= LOSSES_TO_HOLD;
+/** Whether the request runs only as a trial. */
+export function isQuarantined({ lostIncarnations }: QuarantineEntry): boolean {
+  return lostIncarnations.size >= MINIMUM_LOSSES_TO_QUARANTINE;
 }
 
-/** When the next trial is due; `-Infinity` where the request may run freely. */
-export function trialDueAt(entry: QuarantineEntry): number {
-  if (!isHeld(entry)) return -Infinity;
-  const wait = TRIAL_WAITS[Math.min(entry.trials, TRIAL_WAITS.length - 1)] ?? 0;
-  return Math.max(lastLossAt(entry), entry.triedAt) + wait;
+/** Time of the next trial; `-Infinity` if the request is not quarantined. */
+export function nextTrialAt(entry: QuarantineEntry): number {
+  if (!isQuarantined(entry)) return -Infinity;
+  const wait =
+    TRIAL_DELAYS_MILLISECONDS[
+      Math.min(entry.trials, TRIAL_DELAYS_MILLISECONDS.length - 1)
+    ] ?? 0;
+  return Math.max(lastLossAt(entry), entry.lastTrialAt) + wait;
 }
 
-/** An entry with a trial that begins now. */
-export function tried(entry: QuarantineEntry, now: number): QuarantineEntry {
-  return { ...entry, triedAt: now, trials: entry.trials + 1 };
+/** Returns an entry with a trial that begins now. */
+export function withTrial(
+  entry: QuarantineEntry,
+  now: number,
+): QuarantineEntry {
+  return { ...entry, lastTrialAt: now, trials: entry.trials + 1 };
 }
 
-/** When an entry may be forgotten. */
-export function forgottenAt(entry: QuarantineEntry): number {
-  const newest = Math.max(lastLossAt(entry), entry.triedAt, entry.ranWholeAt);
+/** Time until which an entry is retained. */
+export function retainedUntil(entry: QuarantineEntry): number {
+  const newest = Math.max(
+    lastLossAt(entry),
+    entry.lastTrialAt,
+    entry.completedAt,
+  );
   return (
-    newest + (isStored(entry) ? STORED_MILLISECONDS : REMEMBERED_MILLISECONDS)
+    newest +
+    (isStored(entry)
+      ? STORED_ENTRY_RETENTION_MILLISECONDS
+      : ENTRY_RETENTION_MILLISECONDS)
   );
 }
 
-/** Whether the store keeps the request, so that it outlasts the hosts. */
+/**
+ * Whether the request is kept in the store, so that its quarantine survives the end
+ * of all hosts.
+ */
 export function isStored(entry: QuarantineEntry): boolean {
-  return isHeld(entry) || entry.trials > 0;
+  return isQuarantined(entry) || entry.trials > 0;
 }
 
-/** When the last server was lost; `-Infinity` where none was. */
-export function lastLossAt({ lostLives }: QuarantineEntry): number {
-  return Math.max(-Infinity, ...lostLives.values());
+/** Time of the last loss; `-Infinity` without any. */
+export function lastLossAt({ lostIncarnations }: QuarantineEntry): number {
+  return Math.max(-Infinity, ...lostIncarnations.values());
 }
 
-/** A later trial tells the higher count, unless a whole run lies between. */
+/**
+ * Returns the later trial. Its count is the higher one, unless the request
+ * completed in between.
+ */
 function newestTrial(
-  known: QuarantineEntry,
-  heard: QuarantineEntry,
-): Pick<QuarantineEntry, "triedAt" | "trials"> {
-  if (isLater(heard.triedAt, known.triedAt)) return heard;
-  if (isLater(known.triedAt, heard.triedAt)) return known;
-  const trials = Math.max(known.trials, heard.trials);
-  return { triedAt: known.triedAt, trials };
+  local: QuarantineEntry,
+  received: QuarantineEntry,
+): Pick<QuarantineEntry, "lastTrialAt" | "trials"> {
+  if (isLater(received.lastTrialAt, local.lastTrialAt)) return received;
+  if (isLater(local.lastTrialAt, received.lastTrialAt)) return local;
+  const trials = Math.max(local.trials, received.trials);
+  return { lastTrialAt: local.lastTrialAt, trials };
 }
 
-/** Whether a time is of a later moment and not the same one told back. */
+/**
+ * Whether a time belongs to a later event, and is not the same event reported back.
+ */
 function isLater(time: number, other: number): boolean {
-  return time > other + TOLD_TOLERANCE_MILLISECONDS;
+  return time > other + TIME_TOLERANCE_MILLISECONDS;
 }
--- a/packages/rampswitch-serving/src/quarantine/quarantine_entry_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_entry_test.ts
@@ -4,47 +4,47 @@
 import fc from "fast-check";
 import {
   EMPTY_ENTRY,
-  forgottenAt,
-  isHeld,
-  merged,
+  retainedUntil,
+  isQuarantined,
+  mergeEntries,
   type QuarantineEntry,
-  tellsMore,
-  trialDueAt,
-  tried,
+  addsInformation,
+  nextTrialAt,
+  withTrial,
 } from "./quarantine_entry.ts";
 
 const SECOND = 1_000;
 
-/** Times far enough apart not to be taken for the same moment. */
+/** Times that differ by more than the tolerance for one event. */
 const time = fc.integer({ min: 1, max: 60 }).map((count) => count * SECOND);
 
-/** Each life ends once, wherever that is told. */
-const lives = fc
+/** Each incarnation has one end, whichever host reports it. */
+const losses = fc
   .uniqueArray(fc.integer({ min: 1, max: 7 }), { maxLength: 7 })
   .map((ends) => new Map(ends.map((end) => [`s${end}`, end * SECOND])));
 
 const entries = fc.record({
-  lostLives: lives,
-  triedAt: fc.option(time, { nil: -Infinity }),
+  lostIncarnations: losses,
+  lastTrialAt: fc.option(time, { nil: -Infinity }),
   trials: fc.integer({ min: 0, max: 3 }),
-  ranWholeAt: fc.option(time, { nil: -Infinity }),
+  completedAt: fc.option(time, { nil: -Infinity }),
 });
 
-function mergedAll(told: readonly QuarantineEntry[]): QuarantineEntry {
-  return told.reduce(merged, EMPTY_ENTRY);
+function mergeAll(all: readonly QuarantineEntry[]): QuarantineEntry {
+  return all.reduce(mergeEntries, EMPTY_ENTRY);
 }
 
 function lossesAt(...times: readonly number[]): QuarantineEntry {
   return {
     ...EMPTY_ENTRY,
-    lostLives: new Map(times.map((at, index) => [`s${index}`, at])),
+    lostIncarnations: new Map(times.map((at, index) => [`s${index}`, at])),
   };
 }
 
 describe("entries of one request", () => {
-  test("merge to the same one in any order and however often they come", () => {
-    const told = fc.array(entries, { minLength: 1, maxLength: 6 });
-    const shuffles = told.chain((all) =>
+  test("merge to the same one in any order and however often they are received", () => {
+    const reported = fc.array(entries, { minLength: 1, maxLength: 6 });
+    const shuffles = reported.chain((all) =>
       fc.tuple(
         fc.constant(all),
         fc.shuffledSubarray([...all, ...all], {
@@ -54,43 +54,43 @@
     );
     fc.assert(
       fc.property(shuffles, ([once, again]) => {
-        // What is told is normal: a freed request has no trials.
+        // Reported entries are normalized: a request that completed has no trials.
         const normal = (all: readonly QuarantineEntry[]) =>
-          mergedAll(all.map((one) => merged(EMPTY_ENTRY, one)));
+          mergeAll(all.map((one) => mergeEntries(EMPTY_ENTRY, one)));
         expect(normal(again)).toEqual(normal(once));
       }),
       { seed: 34, numRuns: 2_000 },
     );
   });
 
-  test("tell nothing more once they are merged", () => {
+  test("add nothing once they are merged", () => {
     fc.assert(
       fc.property(entries, entries, (left, right) => {
-        const both = merged(left, right);
-        expect(tellsMore(merged(both, right), both)).toBe(false);
+        const both = mergeEntries(left, right);
+        expect(addsInformation(mergeEntries(both, right), both)).toBe(false);
       }),
       { seed: 34, numRuns: 1_000 },
     );
   });
 
-  test("take no time that is told back and forth for a newer one", () => {
-    const known = { ...EMPTY_ENTRY, triedAt: 5_000, ranWholeAt: 4_000 };
-    const echo = { ...EMPTY_ENTRY, triedAt: 5_120, ranWholeAt: 4_150 };
-    expect(merged(known, echo)).toEqual(known);
+  test("do not treat a time that is reported back as a newer one", () => {
+    const known = { ...EMPTY_ENTRY, lastTrialAt: 5_000, completedAt: 4_000 };
+    const echo = { ...EMPTY_ENTRY, lastTrialAt: 5_120, completedAt: 4_150 };
+    expect(mergeEntries(known, echo)).toEqual(known);
   });
 
-  test("count lives and not losses told of them", () => {
+  test("count incarnations and not the reports of their losses", () => {
     const once = lossesAt(1_000);
-    const heardLater = lossesAt(1_140);
-    expect(merged(once, heardLater).lostLives.size).toBe(1);
-    expect(isHeld(merged(once, heardLater))).toBe(false);
+    const reportedLater = lossesAt(1_140);
+    expect(mergeEntries(once, reportedLater).lostIncarnations.size).toBe(1);
+    expect(isQuarantined(mergeEntries(once, reportedLater))).toBe(false);
   });
 
-  test("are free of all that was before a whole run", () => {
+  test("discard the losses before a completion", () => {
     const lost = lossesAt(1_000, 2_000, 3_000);
-    const freed = merged(lost, { ...EMPTY_ENTRY, ranWholeAt: 2_500 });
-    expect([...freed.lostLives.keys()]).toEqual(["s2"]);
-    expect(trialDueAt(freed)).toBe(-Infinity);
+    const freed = mergeEntries(lost, { ...EMPTY_ENTRY, completedAt: 2_500 });
+    expect([...freed.lostIncarnations.keys()]).toEqual(["s2"]);
+    expect(nextTrialAt(freed)).toBe(-Infinity);
   });
 });
 
@@ -101,28 +101,28 @@
     ["three losses", lossesAt(1_000, 1_100, 1_200), 5_200],
     ["eight at once", lossesAt(...Array<number>(8).fill(1_000)), 5_000],
   ])("is due after %s", (_name, entry, dueAt) => {
-    expect(trialDueAt(entry)).toBe(dueAt);
+    expect(nextTrialAt(entry)).toBe(dueAt);
   });
 
-  test("comes ten times as late after each trial that was lost", () => {
-    const first = tried(lossesAt(0, 0, 0), 5 * SECOND);
-    expect(trialDueAt(first)).toBe(45 * SECOND);
-    const second = tried(first, 50 * SECOND);
-    expect(trialDueAt(second)).toBe(450 * SECOND);
-    expect(trialDueAt(tried(second, 500 * SECOND))).toBe(900 * SECOND);
+  test("is due after ten times the delay for each further trial", () => {
+    const first = withTrial(lossesAt(0, 0, 0), 5 * SECOND);
+    expect(nextTrialAt(first)).toBe(45 * SECOND);
+    const second = withTrial(first, 50 * SECOND);
+    expect(nextTrialAt(second)).toBe(450 * SECOND);
+    expect(nextTrialAt(withTrial(second, 500 * SECOND))).toBe(900 * SECOND);
   });
 
-  test("waits for one whose outcome is not known", () => {
-    const first = tried(lossesAt(0, 0, 0), 2 * SECOND);
-    expect(trialDueAt(first)).toBe(42 * SECOND);
+  test("waits for a trial without a known outcome", () => {
+    const first = withTrial(lossesAt(0, 0, 0), 2 * SECOND);
+    expect(nextTrialAt(first)).toBe(42 * SECOND);
   });
 
-  test("is due before a request is forgotten", () => {
+  test("is due before the entry of a request is removed", () => {
     fc.assert(
       fc.property(entries, (entry) => {
-        const known = merged(EMPTY_ENTRY, entry);
-        if (!isHeld(known)) return;
-        expect(forgottenAt(known)).toBeGreaterThan(trialDueAt(known));
+        const known = mergeEntries(EMPTY_ENTRY, entry);
+        if (!isQuarantined(known)) return;
+        expect(retainedUntil(known)).toBeGreaterThan(nextTrialAt(known));
       }),
       { seed: 34, numRuns: 1_000 },
     );
--- a/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
@@ -1,9 +1,10 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Keeps quarantined requests in the platform's store, so that hosts which start
- * when all that knew them are gone know them too. Read once at a start; written
- * when a request has lost its third server, or a later one, and when it is freed.
+ * Keeps quarantined requests in the platform's store, so that hosts that start
+ * after all others have ended know them too. The store is read once at startup. It
+ * is written when a request has lost its third or a later server, and when a
+ * request is released.
  *
  * @module
  */
@@ -20,18 +21,18 @@
 import * as z from "zod";
 import type { ServingMetrics } from "../observation/mod.ts";
 import { FINGERPRINT_PATTERN } from "./fingerprint.ts";
-import { STORED_MILLISECONDS } from "./quarantine_entry.ts";
+import { STORED_ENTRY_RETENTION_MILLISECONDS } from "./quarantine_entry.ts";
 import type { Quarantine, QuarantineNews } from "./quarantine.ts";
 
-/** What the store is used with. */
+/** Dependencies of a {@link QuarantineStore}. */
 export interface QuarantineStoreParts {
   readonly quarantine: Quarantine;
   readonly store: ObjectStore;
-  /** Prefix of the only object's key in the store. */
+  /** Prefix of the key of the only object. */
   readonly prefix: string;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
-  /** Time of day on which the hosts agree, in milliseconds. */
+  /** Fleet time, in milliseconds since the epoch. */
   readonly wallTime: () => number;
   readonly random: Random;
   readonly logger: Logger;
@@ -42,25 +43,26 @@
 const OBJECT_NAME = "requests";
 
 /**
- * Greatest age of a loss that the store tells of, in milliseconds. Whoever wrote it
- * remembered it, so that no later host's clock alone may take it for forgotten.
+ * Maximum age of a loss that is read from the store, in milliseconds. The host that
+ * wrote the loss still retained it, so a later host must not expire it only because
+ * its own clock is ahead.
  */
-const OLDEST_LOSS_MILLISECONDS = STORED_MILLISECONDS / 2;
+const MAXIMUM_LOSS_AGE_MILLISECONDS = STORED_ENTRY_RETENTION_MILLISECONDS / 2;
 
-/** Wait after a call that failed, in milliseconds. */
-const RETRY_MILLISECONDS = 1_000;
+/** Delay after a call that failed, in milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 1_000;
 
-/** Wait where there is nothing to do, in milliseconds. */
-const IDLE_MILLISECONDS = 60_000;
+/** Interval while there is nothing to do, in milliseconds. */
+const IDLE_INTERVAL_MILLISECONDS = 60_000;
 
-const wallTimes = z.record(z.string(), z.number());
+const WALL_TIMES_SCHEMA = z.record(z.string(), z.number());
 
-/** Times of day in place of ages. */
+/** Stored requests, with times of day in place of ages. */
 const OBJECT_SCHEMA = z.object({
   requests: z.record(
     z.string().regex(FINGERPRINT_PATTERN),
     z.object({
-      lostLives: wallTimes,
+      lostLives: WALL_TIMES_SCHEMA,
       tried: z.number().optional(),
       trials: z.number().nonnegative(),
     }),
@@ -69,30 +71,30 @@
 
 type StoredQuarantine = z.output<typeof OBJECT_SCHEMA>;
 
-/** The object with the quarantined requests. */
+/** Reads and writes the object with the quarantined requests. */
 export class QuarantineStore implements AsyncDisposable {
   readonly #parts: QuarantineStoreParts;
   readonly #repetition: Repetition;
-  #wasRead = false;
-  #isChanged = false;
+  #hasRead = false;
+  #hasChanges = false;
 
   constructor(parts: QuarantineStoreParts) {
     this.#parts = parts;
     this.#repetition = repeat(
       parts.clock,
       () => jitter(parts.random, this.#wait()),
-      () => this.#work(),
+      () => this.#synchronize(),
     );
     this.#repetition.hurry();
-    // The copy that the store came back from may lack what was kept.
+    // A copy that the store was restored from may lack what was written before.
     parts.store.onEra(() => {
       if (parts.quarantine.stored().length > 0) this.changed();
     });
   }
 
-  /** Has the store keep what the quarantine now holds. */
+  /** Schedules a write of the current quarantine. */
   changed(): void {
-    this.#isChanged = true;
+    this.#hasChanges = true;
     this.#repetition.hurry();
   }
 
@@ -101,24 +103,25 @@
   }
 
   #wait(): number {
-    return this.#wasRead && !this.#isChanged
-      ? IDLE_MILLISECONDS
-      : RETRY_MILLISECONDS;
+    return this.#hasRead && !this.#hasChanges
+      ? IDLE_INTERVAL_MILLISECONDS
+      : RETRY_DELAY_MILLISECONDS;
   }
 
-  async #work(): Promise<void> {
-    if (this.#wasRead && !this.#isChanged) return;
+  async #synchronize(): Promise<void> {
+    if (this.#hasRead && !this.#hasChanges) return;
     const { store, prefix, metrics } = this.#parts;
-    // What is written must follow what others wrote; at a start, seconds may pass.
-    const listed = await store.list(prefix, { mayBeStale: !this.#isChanged });
+    // A write must include what other hosts wrote. At startup, a result that is
+    // some seconds old is sufficient.
+    const listed = await store.list(prefix, { mayBeStale: !this.#hasChanges });
     if (listed.isErr) {
       metrics.event("quarantine_store_failed");
       return;
     }
     const [object] = listed.value.objects;
     if (object !== undefined) this.#restore(object);
-    this.#wasRead = true;
-    if (this.#isChanged) await this.#write(object?.version);
+    this.#hasRead = true;
+    if (this.#hasChanges) await this.#write(object?.version);
   }
 
   #restore(object: StoredObject): void {
@@ -130,41 +133,42 @@
       logger.warn("stored quarantine can't be read", { key: object.key });
       return;
     }
-    const news = newsOf(read.value.data, wallTime());
-    quarantine.heard(news);
-    logger.info("stored quarantine read", { requests: news.length });
+    const updates = updatesOf(read.value.data, wallTime());
+    quarantine.heard(updates);
+    logger.info("stored quarantine read", { requests: updates.length });
   }
 
   async #write(version: number | undefined): Promise<void> {
     const { quarantine, store, prefix, wallTime, logger, metrics } =
       this.#parts;
-    this.#isChanged = false;
-    const kept = quarantine.stored();
-    const value = JSON.stringify(storedOf(kept, wallTime()));
+    this.#hasChanges = false;
+    const updates = quarantine.stored();
+    const value = JSON.stringify(storedOf(updates, wallTime()));
     const put = await store.put(`${prefix}${OBJECT_NAME}`, value, {
       expected: version ?? "absent",
     });
-    // Also after a conflict: another host has just written, so this one joins.
-    if (put.isErr) this.#isChanged = true;
+    // A conflict is retried as well: another host has just written, and the next
+    // attempt merges its entries.
+    if (put.isErr) this.#hasChanges = true;
     metrics.event(`quarantine_${put.isOk ? "stored" : "not_stored"}`);
     logger.info("quarantine stored", {
-      requests: kept.length,
+      requests: updates.length,
       outcome: put.isOk ? "stored" : put.error.kind,
     });
   }
 }
 
 function storedOf(
-  news: readonly QuarantineNews[],
+  updates: readonly QuarantineNews[],
   wallTime: number,
 ): StoredQuarantine {
   return {
     requests: Object.fromEntries(
-      news.map(({ fingerprint, lostLives, tried, trials }) => [
+      updates.map(({ fingerprint, lostLives, tried, trials }) => [
         fingerprint,
         {
           trials,
-          lostLives: shifted(lostLives, wallTime),
+          lostLives: convertTimes(lostLives, wallTime),
           ...(tried === undefined ? {} : { tried: wallTime - tried }),
         },
       ]),
@@ -172,29 +176,35 @@
   };
 }
 
-function newsOf(
+function updatesOf(
   { requests }: StoredQuarantine,
   wallTime: number,
 ): readonly QuarantineNews[] {
   return Object.entries(requests).map(([fingerprint, stored]) => ({
     fingerprint,
-    lostLives: shifted(stored.lostLives, wallTime, OLDEST_LOSS_MILLISECONDS),
+    lostLives: convertTimes(
+      stored.lostLives,
+      wallTime,
+      MAXIMUM_LOSS_AGE_MILLISECONDS,
+    ),
     tried: stored.tried === undefined ? undefined : wallTime - stored.tried,
     trials: stored.trials,
     ranWhole: undefined,
   }));
 }
 
-/** Turns ages into times of day, and the other way round, up to a greatest one. */
-function shifted(
+/**
+ * Converts ages into times of day or times of day into ages, up to a maximum value.
+ */
+function convertTimes(
   times: Readonly<Record<string, number>>,
   wallTime: number,
-  greatest = Infinity,
+  maximum = Infinity,
 ): Record<string, number> {
   return Object.fromEntries(
     Object.entries(times).map(([life, time]) => [
       life,
-      Math.min(Math.round(wallTime - time), greatest),
+      Math.min(Math.round(wallTime - time), maximum),
     ]),
   );
 }
--- a/packages/rampswitch-serving/src/quarantine/quarantine_store_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store_test.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// What the store keeps of requests that crash servers has to outlive the hosts. A
-// host that started with its clock two hours ahead took all of it for forgotten: the
-// request ran freely there, and the next thing that it stored left the others out, so
-// that no later host knew them either.
+// Stored entries must survive the end of all hosts. A host that started with its
+// clock two hours ahead treated all of them as expired: the request ran freely
+// there, and the host's next write dropped the entries, so that no later host knew
+// them either.
 
 import { afterEach, describe, expect, test } from "@jest/globals";
 import { Result } from "true-myth";
@@ -38,11 +38,11 @@
   });
 }
 
-/** A store of one object. */
+/** A store with one object. */
 function storeOfOne(): ObjectStore & {
   readonly values: readonly string[];
-  /** Comes back from a copy without the object. */
-  comeBack(): void;
+  /** Restores the store from a copy without the object. */
+  restoreWithoutObject(): void;
 } {
   const listeners: Parameters<ObjectStore["onEra"]>[0][] = [];
   const values: string[] = [];
@@ -51,7 +51,7 @@
   return {
     ...ONE_ERA,
     onEra: (listener) => listeners.push(listener),
-    comeBack: () => {
+    restoreWithoutObject: () => {
       object = undefined;
       listeners.forEach((listener) => listener({ from: 1, to: 2 }));
     },
@@ -74,7 +74,10 @@
   };
 }
 
-/** A host that starts with its clock ahead by some milliseconds, and has read. */
+/**
+ * Starts a host with its clock ahead by some milliseconds, and lets it read the
+ * store.
+ */
 async function startedHost(
   store: ObjectStore,
   clock: ManualClock,
@@ -106,7 +109,7 @@
 }
 
 async function pass(clock: ManualClock): Promise<void> {
-  for (let turn = 0; turn < 8; turn += 1) {
+  for (let round = 0; round < 8; round += 1) {
     clock.advance(100);
     await new Promise((resolve) => setImmediate(resolve));
   }
@@ -118,17 +121,17 @@
   );
 }
 
-describe("what the store keeps of a request that crashes servers", () => {
-  // What the store had acknowledged went with the copy that it came back from, so
-  // that hosts which started later knew of no quarantine.
-  test("is stored again where the store came back without it", async () => {
+describe("the stored quarantine of a request that crashes servers", () => {
+  // A restore from a copy lost a write that the store had acknowledged, so that
+  // hosts that started later knew of no quarantine.
+  test("is stored again after the store was restored without it", async () => {
     const clock = new ManualClock(1_000);
     const store = storeOfOne();
     const quarantine = await startedHost(store, clock, 0);
     crash(quarantine, requestOf("lost"));
     await pass(clock);
     const before = store.values.length;
-    store.comeBack();
+    store.restoreWithoutObject();
     await pass(clock);
     expect(before).toBeGreaterThan(0);
     expect(store.values.length).toBeGreaterThan(before);
@@ -139,14 +142,14 @@
     async (ahead) => {
       const store = storeOfOne();
       const clock = new ManualClock(1_000);
-      const guilty = requestOf("guilty");
-      crash(await startedHost(store, clock, 0), guilty);
+      const crashing = requestOf("crashing");
+      crash(await startedHost(store, clock, 0), crashing);
       await pass(clock);
       const started = await startedHost(store, clock, ahead);
-      expect(started.forbidsRepeat(guilty)).toBe(true);
+      expect(started.forbidsRepeat(crashing)).toBe(true);
       crash(started, requestOf("another"));
       await pass(clock);
-      expect(store.values.at(-1)).toContain(guilty.text);
+      expect(store.values.at(-1)).toContain(crashing.text);
     },
   );
 });
--- a/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
@@ -14,16 +14,16 @@
 
 const SECOND = 1_000;
 
-/** Time between two messages of a host. */
-const NEWS_MILLISECONDS = 250;
+/** Time between two updates of a host. */
+const GOSSIP_INTERVAL_MILLISECONDS = 250;
 
 const LAG_MILLISECONDS = 700;
 
-/** Time in which all hosts are to know what one saw. */
-const CONTACT_MILLISECONDS = 3 * SECOND;
+/** Time within which all hosts must know what one host observed. */
+const PROPAGATION_MILLISECONDS = 3 * SECOND;
 
-/** Sends that are allowed once hosts know, over the whole fleet. */
-const SENDS_ALLOWED = 3;
+/** Maximum number of sends of the whole fleet once all hosts know. */
+const MAXIMUM_SENDS = 3;
 
 /** Step of the simulated time. */
 const STEP_MILLISECONDS = 10;
@@ -57,7 +57,7 @@
   });
 }
 
-function lifeOf(life: string): {
+function lostIncarnation(life: string): {
   readonly life: string;
   readonly leavingSince: number | undefined;
 } {
@@ -74,16 +74,18 @@
 interface Message {
   readonly at: number;
   readonly to: number;
-  readonly news: readonly QuarantineNews[];
+  readonly updates: readonly QuarantineNews[];
 }
 
-/** Hosts that tell each other, with messages that are lost, late and doubled. */
+/**
+ * Hosts that exchange updates, with messages that are lost, delayed and duplicated.
+ */
 class SimulatedFleet {
   readonly clock = new ManualClock(1_000_000);
   readonly random: Random;
   #hosts: readonly Quarantine[];
   #messages: readonly Message[] = [];
-  /** What the store keeps of the requests. */
+  /** The stored requests. */
   #stored: readonly QuarantineNews[] = [];
   #storedAt = 0;
 
@@ -98,33 +100,34 @@
 
   anyHost(): Quarantine {
     const host = this.#hosts[this.random.below(this.size)];
-    if (host === undefined) throw new Error("a fleet has hosts");
+    if (host === undefined) throw new Error("the fleet has no hosts");
     return host;
   }
 
-  /** Ends some hosts; those in their places know only what the store keeps. */
+  /** Ends some hosts. Their replacements know only the stored requests. */
   replace(which: (index: number) => boolean): void {
     this.#hosts = this.#hosts.map((host, index) =>
       which(index) ? this.#newHost(index, this.#stored) : host,
     );
   }
 
-  /** One step of time; messages go out and come in. */
+  /** Advances the time by one step, and sends and delivers messages. */
   step(): void {
     this.clock.advance(STEP_MILLISECONDS);
     const now = this.clock.now();
     const due = this.#messages.filter(({ at }) => at <= now);
     this.#messages = this.#messages.filter(({ at }) => at > now);
-    due.forEach(({ to, news }) => this.#hosts[to]?.heard(news));
+    due.forEach(({ to, updates }) => this.#hosts[to]?.heard(updates));
     this.#hosts.forEach((host, index) => {
-      const turn = (now / STEP_MILLISECONDS + index) * STEP_MILLISECONDS;
-      if (turn % NEWS_MILLISECONDS === 0) this.#tell(host, index);
+      const shifted = (now / STEP_MILLISECONDS + index) * STEP_MILLISECONDS;
+      if (shifted % GOSSIP_INTERVAL_MILLISECONDS === 0)
+        this.#broadcast(host, index);
     });
   }
 
-  #tell(host: Quarantine, from: number): void {
-    const news = host.news();
-    if (news.length === 0) return;
+  #broadcast(host: Quarantine, from: number): void {
+    const updates = host.news();
+    if (updates.length === 0) return;
     this.#hosts.forEach((_, to) => {
       if (to === from) return;
       // None, one or two copies, up to 40 ms late.
@@ -133,7 +136,7 @@
       const added = Array.from({ length: copies }, () => ({
         at: this.clock.now() + this.random.below(40),
         to,
-        news,
+        updates,
       }));
       this.#messages = [...this.#messages, ...added];
     });
@@ -153,34 +156,34 @@
   }
 }
 
-function aged(news: QuarantineNews, by: number): QuarantineNews {
+function aged(update: QuarantineNews, by: number): QuarantineNews {
   return {
-    ...news,
+    ...update,
     lostLives: Object.fromEntries(
-      Object.entries(news.lostLives).map(([life, age]) => [life, age + by]),
+      Object.entries(update.lostLives).map(([life, age]) => [life, age + by]),
     ),
-    tried: news.tried === undefined ? undefined : news.tried + by,
+    tried: update.tried === undefined ? undefined : update.tried + by,
   };
 }
 
-/** Sends of a request that ends each server that begins it. */
-class GuiltyRequest {
+/** Sends of a request that crashes each server that runs it. */
+class CrashingRequest {
   readonly sentAt: number[] = [];
   readonly endedAt: number[] = [];
   readonly fingerprint: Fingerprint;
   readonly #fleet: SimulatedFleet;
-  readonly #runMilliseconds: number;
+  readonly #runTime: number;
 
   constructor(
     name: string,
-    options: { readonly fleet: SimulatedFleet; readonly runFor: number },
+    options: { readonly fleet: SimulatedFleet; readonly runTime: number },
   ) {
     this.fingerprint = fingerprintOf(name);
     this.#fleet = options.fleet;
-    this.#runMilliseconds = options.runFor;
+    this.#runTime = options.runTime;
   }
 
-  /** A caller asks at any host, which sends it twice as its route allows. */
+  /** Sends the request from any host, which resends it once as its route allows. */
   ask(): void {
     this.#send(this.#fleet.anyHost(), true);
   }
@@ -191,17 +194,18 @@
     if (!isFirst && host.forbidsRepeat(this.fingerprint)) return;
     this.sentAt.push(clock.now());
     const life = `life-${this.sentAt.length}`;
-    clock.after(this.#runMilliseconds, () => {
+    clock.after(this.#runTime, () => {
       this.endedAt.push(clock.now());
-      host.lost(this.fingerprint, lifeOf(life));
+      host.lost(this.fingerprint, lostIncarnation(life));
       if (isFirst) this.#send(host, false);
     });
   }
 
-  /** Sends later than hosts need to know that three servers ended. */
+  /** Number of sends after the hosts must know that three servers ended. */
   get lateSends(): number {
     const third = this.endedAt[2] ?? Infinity;
-    return this.sentAt.filter((at) => at > third + CONTACT_MILLISECONDS).length;
+    return this.sentAt.filter((at) => at > third + PROPAGATION_MILLISECONDS)
+      .length;
   }
 }
 
@@ -209,54 +213,60 @@
 
 describe("a request that crashes servers", () => {
   test.each(SEEDS)(
-    "is sent three times at most once hosts know, whatever gets lost (seed %d)",
+    "is sent at most three times once the hosts know, with any message losses (seed %d)",
     (seed) => {
       const fleet = new SimulatedFleet(seed);
-      const runFor = 20 + fleet.random.below(400);
-      const guilty = new GuiltyRequest("guilty", { fleet, runFor });
-      const pace = 50 + fleet.random.below(500);
+      const runTime = 20 + fleet.random.below(400);
+      const crashing = new CrashingRequest("crashing", { fleet, runTime });
+      const interval = 50 + fleet.random.below(500);
       const replaced = fleet.random.below(3);
       for (let time = 0; time < 100 * SECOND; time += STEP_MILLISECONDS) {
         fleet.step();
-        if (time % (pace - (pace % STEP_MILLISECONDS)) === 0) guilty.ask();
-        // Single hosts end now and then, or all at once.
+        if (time % (interval - (interval % STEP_MILLISECONDS)) === 0)
+          crashing.ask();
+        // Single hosts end from time to time, or all of them at once.
         if (replaced > 0 && time % (7 * SECOND) === 6 * SECOND) {
           const one = fleet.random.below(fleet.size);
           fleet.replace((index) => replaced === 2 || index === one);
         }
       }
-      expect(guilty.endedAt.length).toBeGreaterThanOrEqual(3);
-      expect(guilty.lateSends).toBeLessThanOrEqual(SENDS_ALLOWED);
+      expect(crashing.endedAt.length).toBeGreaterThanOrEqual(3);
+      expect(crashing.lateSends).toBeLessThanOrEqual(MAXIMUM_SENDS);
     },
   );
 
-  test("stays held in a flood of other requests under which servers ended", () => {
+  test("stays held in a burst of other requests that lost servers", () => {
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
-    const guilty = fingerprintOf("guilty");
-    ["a", "b", "c"].forEach((life) => quarantine.lost(guilty, lifeOf(life)));
+    const crashing = fingerprintOf("crashing");
+    ["a", "b", "c"].forEach((life) =>
+      quarantine.lost(crashing, lostIncarnation(life)),
+    );
     for (let count = 0; count < 10_000; count += 1) {
       const other = fingerprintOf(`other ${count}`);
-      quarantine.lost(other, lifeOf(`d${count}`));
+      quarantine.lost(other, lostIncarnation(`d${count}`));
     }
-    expect(quarantine.decide(guilty).kind).toBe("held");
-    expect(quarantine.news()[0]?.fingerprint).toBe(guilty.text);
+    expect(quarantine.decide(crashing).kind).toBe("held");
+    expect(quarantine.news()[0]?.fingerprint).toBe(crashing.text);
   });
 
-  test("counts at a silent server only when that has ended", () => {
+  test("counts a loss at an unresponsive server only when the server has ended", () => {
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
     const request = fingerprintOf("silent");
-    ["a", "b", "c"].forEach((life) => quarantine.silent(request, lifeOf(life)));
+    ["a", "b", "c"].forEach((life) =>
+      quarantine.silent(request, lostIncarnation(life)),
+    );
     expect(quarantine.decide(request).kind).toBe("free");
     clock.advance(4_000);
     ["a", "b", "c"].forEach((life) => quarantine.lifeEnded(life));
-    // The waits run from the silence, so the first trial is due.
+    // The delay starts when the servers became unresponsive, so the first trial is
+    // due.
     expect(quarantine.decide(request).kind).toBe("trial");
     expect(quarantine.forbidsRepeat(request)).toBe(true);
   });
 
-  test("is not suspected for servers that were announced to leave", () => {
+  test("is not suspected when the end of the servers was announced", () => {
     const quarantine = quarantineOf(new ManualClock(1_000));
     const request = fingerprintOf("moved");
     ["a", "b", "c"].forEach((life) =>
@@ -266,16 +276,19 @@
   });
 });
 
-/** Longest hold that a popular innocent request may meet, by lost servers. */
-const LONGEST_HOLDS: readonly (readonly [number, number])[] = [
+/**
+ * Maximum time for which a popular request that does not crash servers may be held,
+ * by the number of lost servers.
+ */
+const MAXIMUM_HOLDS: readonly (readonly [number, number])[] = [
   [1, 0],
   [2, 0],
   [3, 4 * SECOND + LAG_MILLISECONDS * FLEET_SIZE],
   [9, 4 * SECOND + LAG_MILLISECONDS * FLEET_SIZE],
 ];
 
-describe("an innocent request", () => {
-  test.each(LONGEST_HOLDS)(
+describe("a request that does not crash servers", () => {
+  test.each(MAXIMUM_HOLDS)(
     "is held no longer than a trial takes after %d servers were lost at once",
     (lost, longest) => {
       SEEDS.slice(0, 10).forEach((seed) => {
@@ -283,7 +296,7 @@
         const request = fingerprintOf("popular");
         const lostAt = fleet.clock.now();
         for (let count = 0; count < lost; count += 1) {
-          fleet.anyHost().lost(request, lifeOf(`life-${count}`));
+          fleet.anyHost().lost(request, lostIncarnation(`life-${count}`));
         }
         let heldUntil = lostAt;
         let trials = 0;
@@ -294,45 +307,47 @@
           const { kind } = host.begin(request);
           if (kind === "trial") trials += 1;
           if (kind === "held") heldUntil = fleet.clock.now();
-          // Each run of it takes 60 ms.
+          // Each run takes 60 ms.
           else fleet.clock.after(60, () => host.ranWhole(request));
         }
-        // News of the whole run takes its time as well.
-        const known = longest === 0 ? 0 : 4 * NEWS_MILLISECONDS;
+        // The report of the completed run takes some gossip intervals as well.
+        const known = longest === 0 ? 0 : 4 * GOSSIP_INTERVAL_MILLISECONDS;
         expect(heldUntil - lostAt).toBeLessThanOrEqual(longest + known);
-        expect(trials).toBeLessThanOrEqual(SENDS_ALLOWED);
+        expect(trials).toBeLessThanOrEqual(MAXIMUM_SENDS);
       });
     },
   );
 
-  test("is free while others with its path, workspace and length are held", () => {
+  test("is free while others with the same path, workspace and length are held", () => {
     const quarantine = quarantineOf(new ManualClock(1_000));
-    const guilty = fingerprintOf("guilty");
-    ["a", "b", "c"].forEach((life) => quarantine.lost(guilty, lifeOf(life)));
-    expect(quarantine.decide(fingerprintOf("innocent")).kind).toBe("free");
+    const crashing = fingerprintOf("crashing");
+    ["a", "b", "c"].forEach((life) =>
+      quarantine.lost(crashing, lostIncarnation(life)),
+    );
+    expect(quarantine.decide(fingerprintOf("other")).kind).toBe("free");
   });
 
-  test("that runs whole beside its losses is never held", () => {
+  test("is never held while it completes between its losses", () => {
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
     const request = fingerprintOf("popular");
     for (let count = 0; count < 50; count += 1) {
       clock.advance(500);
-      quarantine.lost(request, lifeOf(`life-${count}`));
+      quarantine.lost(request, lostIncarnation(`life-${count}`));
       clock.advance(500);
       quarantine.ranWhole(request);
       expect(quarantine.decide(request).kind).toBe("free");
     }
   });
 
-  test("is forgotten after a while", () => {
+  test("is removed after a while", () => {
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
     const request = fingerprintOf("once");
-    quarantine.lost(request, lifeOf("a"));
+    quarantine.lost(request, lostIncarnation("a"));
     clock.advance(61 * SECOND);
     quarantine.news();
-    quarantine.lost(request, lifeOf("b"));
+    quarantine.lost(request, lostIncarnation("b"));
     expect(quarantine.forbidsRepeat(request)).toBe(false);
   });
 });
--- a/packages/rampswitch-serving/src/quarantine/unconfirmed_losses.ts
+++ b/packages/rampswitch-serving/src/quarantine/unconfirmed_losses.ts
@@ -1,48 +1,55 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Requests under which a server fell silent. Most such servers are only slow, so
- * the silence counts once the server's end is known.
+ * Requests whose server became unresponsive. Most such servers are only slow, so
+ * these requests count as losses only once the end of the server is confirmed.
  *
  * @module
  */
 
-/** A request under which a server fell silent. */
-export interface SilentLoss {
+/** A request whose server became unresponsive. */
+export interface UnconfirmedLoss {
   readonly fingerprint: string;
   readonly at: number;
 }
 
 /**
- * Time in which the end of a silent server becomes known, in milliseconds: its
- * entry goes after three missed heartbeats.
+ * Time within which the end of an unresponsive server becomes known, in
+ * milliseconds: its entry is removed after three missed heartbeats.
  */
-const AWAITED_MILLISECONDS = 10_000;
+const CONFIRMATION_WAIT_MILLISECONDS = 10_000;
 
-/** Losses that are kept, the newest ones. */
-const MOST_LOSSES = 1_000;
+/** Maximum number of unconfirmed losses; the newest ones are retained. */
+const MAXIMUM_LOSSES = 1_000;
 
-/** Silent servers, and the requests that they had. */
-export class SilentLosses {
-  #losses: readonly (SilentLoss & { readonly life: string })[] = [];
+/** Unresponsive servers and the requests that they ran. */
+export class UnconfirmedLosses {
+  #losses: readonly (UnconfirmedLoss & { readonly incarnation: string })[] = [];
 
-  /** Notes that a life of a server fell silent under a request. */
-  add(life: string, fingerprint: string, at: number): void {
+  /**
+   * Records that an incarnation of a server became unresponsive while it ran a
+   * request.
+   */
+  add(incarnation: string, fingerprint: string, at: number): void {
     this.#losses = [
-      ...this.#awaited(at).slice(1 - MOST_LOSSES),
-      { life, fingerprint, at },
+      ...this.#pending(at).slice(1 - MAXIMUM_LOSSES),
+      { incarnation, fingerprint, at },
     ];
   }
 
-  /** The requests of a life that has ended; they are asked for once. */
-  take(life: string, now: number): readonly SilentLoss[] {
+  /** Returns the requests of an incarnation that has ended, and removes them. */
+  take(incarnation: string, now: number): readonly UnconfirmedLoss[] {
     if (this.#losses.length === 0) return [];
-    const awaited = this.#awaited(now);
-    this.#losses = awaited.filter((loss) => loss.life !== life);
-    return awaited.filter((loss) => loss.life === life);
+    const pending = this.#pending(now);
+    this.#losses = pending.filter((loss) => loss.incarnation !== incarnation);
+    return pending.filter((loss) => loss.incarnation === incarnation);
   }
 
-  #awaited(now: number): readonly (SilentLoss & { readonly life: string })[] {
-    return this.#losses.filter(({ at }) => now - at < AWAITED_MILLISECONDS);
+  #pending(
+    now: number,
+  ): readonly (UnconfirmedLoss & { readonly incarnation: string })[] {
+    return this.#losses.filter(
+      ({ at }) => now - at < CONFIRMATION_WAIT_MILLISECONDS,
+    );
   }
 }
