--- a/packages/rampswitch-serving/src/quarantine/quarantine.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine.ts
@@ -185,10 +185,12 @@
   }
 
   /** Records that an incarnation of a server ended without an announcement. */
-  lifeEnded(life: string): void {
+  lifeEnded(incarnation: string): void {
     this.#unconfirmedLosses
-      .take(life, this.#parts.clock.now())
-      .forEach(({ fingerprint, at }) => this.#countLoss(fingerprint, life, at));
+      .take(incarnation, this.#parts.clock.now())
+      .forEach(({ fingerprint, at }) =>
+        this.#countLoss(fingerprint, incarnation, at),
+      );
   }
 
   /** Records that a request completed, which shows that it does not crash servers. */
@@ -356,7 +358,10 @@
   return {
     fingerprint,
     lostLives: Object.fromEntries(
-      [...entry.lostIncarnations].map(([life, at]) => [life, now - at]),
+      [...entry.lostIncarnations].map(([incarnation, at]) => [
+        incarnation,
+        now - at,
+      ]),
     ),
     tried: ageOf(entry.lastTrialAt, now),
     trials: entry.trials,
@@ -367,8 +372,8 @@
 function entryOf(update: QuarantineNews, now: number): QuarantineEntry {
   return {
     lostIncarnations: new Map(
-      Object.entries(update.lostLives).map(([life, age]) => [
-        life,
+      Object.entries(update.lostLives).map(([incarnation, age]) => [
+        incarnation,
         timeOf(age, now),
       ]),
     ),
--- a/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
@@ -202,8 +202,8 @@
   maximum = Infinity,
 ): Record<string, number> {
   return Object.fromEntries(
-    Object.entries(times).map(([life, time]) => [
-      life,
+    Object.entries(times).map(([incarnation, time]) => [
+      incarnation,
       Math.min(Math.round(wallTime - time), maximum),
     ]),
   );
--- a/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
@@ -57,11 +57,11 @@
   });
 }
 
-function lostIncarnation(life: string): {
+function lostIncarnation(incarnationName: string): {
   readonly life: string;
   readonly leavingSince: number | undefined;
 } {
-  return { life, leavingSince: undefined };
+  return { life: incarnationName, leavingSince: undefined };
 }
 
 const FLEET_SIZE = 8;
@@ -160,7 +160,10 @@
   return {
     ...update,
     lostLives: Object.fromEntries(
-      Object.entries(update.lostLives).map(([life, age]) => [life, age + by]),
+      Object.entries(update.lostLives).map(([incarnation, age]) => [
+        incarnation,
+        age + by,
+      ]),
     ),
     tried: update.tried === undefined ? undefined : update.tried + by,
   };
@@ -193,10 +196,10 @@
     if (isFirst && host.begin(this.fingerprint).kind === "held") return;
     if (!isFirst && host.forbidsRepeat(this.fingerprint)) return;
     this.sentAt.push(clock.now());
-    const life = `life-${this.sentAt.length}`;
+    const incarnation = `life-${this.sentAt.length}`;
     clock.after(this.#runTime, () => {
       this.endedAt.push(clock.now());
-      host.lost(this.fingerprint, lostIncarnation(life));
+      host.lost(this.fingerprint, lostIncarnation(incarnation));
       if (isFirst) this.#send(host, false);
     });
   }
@@ -239,8 +242,8 @@
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
     const crashing = fingerprintOf("crashing");
-    ["a", "b", "c"].forEach((life) =>
-      quarantine.lost(crashing, lostIncarnation(life)),
+    ["a", "b", "c"].forEach((incarnation) =>
+      quarantine.lost(crashing, lostIncarnation(incarnation)),
     );
     for (let count = 0; count < 10_000; count += 1) {
       const other = fingerprintOf(`other ${count}`);
@@ -254,12 +257,12 @@
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
     const request = fingerprintOf("silent");
-    ["a", "b", "c"].forEach((life) =>
-      quarantine.silent(request, lostIncarnation(life)),
+    ["a", "b", "c"].forEach((incarnation) =>
+      quarantine.silent(request, lostIncarnation(incarnation)),
     );
     expect(quarantine.decide(request).kind).toBe("free");
     clock.advance(4_000);
-    ["a", "b", "c"].forEach((life) => quarantine.lifeEnded(life));
+    ["a", "b", "c"].forEach((incarnation) => quarantine.lifeEnded(incarnation));
     // The delay starts when the servers became unresponsive, so the first trial is
     // due.
     expect(quarantine.decide(request).kind).toBe("trial");
@@ -321,8 +324,8 @@
   test("is free while others with the same path, workspace and length are held", () => {
     const quarantine = quarantineOf(new ManualClock(1_000));
     const crashing = fingerprintOf("crashing");
-    ["a", "b", "c"].forEach((life) =>
-      quarantine.lost(crashing, lostIncarnation(life)),
+    ["a", "b", "c"].forEach((incarnation) =>
+      quarantine.lost(crashing, lostIncarnation(incarnation)),
     );
     expect(quarantine.decide(fingerprintOf("other")).kind).toBe("free");
   });
