--- a/packages/rampswitch-serving/src/server_limits/mod.ts
+++ b/packages/rampswitch-serving/src/server_limits/mod.ts
@@ -14,13 +14,13 @@
   type TurnRequest,
 } from "./server_permits.ts";
 export {
-  MINIMUM_PERMITS_PER_SECOND as LEAST_PER_SECOND,
+  MINIMUM_PERMITS_PER_SECOND,
   TurnLedger,
-  type PermitOutcome as TurnOutcome,
+  type PermitOutcome,
   type TurnUrgency,
 } from "./permit_ledger.ts";
 export {
-  type LendingIntervals as LendingPace,
+  type LendingIntervals,
   type LentTo,
   TurnLenders,
 } from "./permit_lenders.ts";
