--- a/packages/rampswitch-serving/src/quarantine/quarantine_store_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store_test.ts
@@ -142,7 +142,7 @@
     async (ahead) => {
       const store = storeOfOne();
       const clock = new ManualClock(1_000);
-      const crashing = requestOf("crashing");
+      const crashing = requestOf("guilty");
       crash(await startedHost(store, clock, 0), crashing);
       await pass(clock);
       const started = await startedHost(store, clock, ahead);
--- a/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
@@ -220,7 +220,7 @@
     (seed) => {
       const fleet = new SimulatedFleet(seed);
       const runTime = 20 + fleet.random.below(400);
-      const crashing = new CrashingRequest("crashing", { fleet, runTime });
+      const crashing = new CrashingRequest("guilty", { fleet, runTime });
       const interval = 50 + fleet.random.below(500);
       const replaced = fleet.random.below(3);
       for (let time = 0; time < 100 * SECOND; time += STEP_MILLISECONDS) {
@@ -241,7 +241,7 @@
   test("stays held in a burst of other requests that lost servers", () => {
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
-    const crashing = fingerprintOf("crashing");
+    const crashing = fingerprintOf("guilty");
     ["a", "b", "c"].forEach((incarnation) =>
       quarantine.lost(crashing, lostIncarnation(incarnation)),
     );
@@ -323,11 +323,11 @@
 
   test("is free while others with the same path, workspace and length are held", () => {
     const quarantine = quarantineOf(new ManualClock(1_000));
-    const crashing = fingerprintOf("crashing");
+    const crashing = fingerprintOf("guilty");
     ["a", "b", "c"].forEach((incarnation) =>
       quarantine.lost(crashing, lostIncarnation(incarnation)),
     );
-    expect(quarantine.decide(fingerprintOf("other")).kind).toBe("free");
+    expect(quarantine.decide(fingerprintOf("innocent")).kind).toBe("free");
   });
 
   test("is never held while it completes between its losses", () => {
