--- a/packages/rampswitch-serving/src/server_limits/mod.ts
+++ b/packages/rampswitch-serving/src/server_limits/mod.ts
@@ -1,23 +1,27 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Limits that backend servers name, kept by all hosts together.
+ * Rate limits that backend servers advertise, enforced by all hosts together.
  *
  * @module
  */
-export { LimitBook, type LimitNews } from "./limit_book.ts";
+export { LimitBook, type LimitNews } from "./limit_table.ts";
 export {
   type LimitedServer,
   ServerTurns,
   type TurnNews,
   type TurnReply,
   type TurnRequest,
-} from "./server_turns.ts";
+} from "./server_permits.ts";
 export {
-  LEAST_PER_SECOND,
+  MINIMUM_PERMITS_PER_SECOND,
   TurnLedger,
-  type TurnOutcome,
+  type PermitOutcome,
   type TurnUrgency,
-} from "./turn_ledger.ts";
-export { type LendingPace, type LentTo, TurnLenders } from "./turn_lenders.ts";
-export { TurnWaits } from "./turn_waits.ts";
+} from "./permit_ledger.ts";
+export {
+  type LendingIntervals,
+  type LentTo,
+  TurnLenders,
+} from "./permit_lenders.ts";
+export { TurnWaits } from "./permit_waits.ts";
