--- a/packages/rampswitch-serving/src/duties/capacity_duty.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty.ts
@@ -17,44 +17,44 @@
   planCapacity,
   serversBeforeListing,
   serversBeforeLoad,
-  serversMissing,
+  serversMissingByLimits,
   serversNeeded,
   type DataHallServers,
-  type DataHallWish,
+  type DataHallTarget,
   type ServiceLoad,
 } from "./capacity_plan.ts";
 
 /** A fall of a wish is ordered after it lasted this long, in milliseconds. */
-const FALL_MILLISECONDS = 6_000;
+const SCALE_DOWN_DELAY_MILLISECONDS = 6_000;
 
 /**
  * The same for servers on demand, in milliseconds. They are wished for less as
  * soon as reclaimable ones are ready in their place, which is no chance of the
  * load, and each costs as much as four or more of those.
  */
-const FALL_ON_DEMAND_MILLISECONDS = 1_500;
+const ON_DEMAND_SCALE_DOWN_DELAY_MILLISECONDS = 1_500;
 
 /** After a refusal, reclaimable servers are asked for again after this, in ms. */
-const SOLD_OUT_MILLISECONDS = 3_000;
+const SOLD_OUT_RETRY_MILLISECONDS = 3_000;
 
 /**
  * After an announced reclaim, none are asked for in that data hall for this
  * long, in milliseconds.
  */
-const RECLAIMED_MILLISECONDS = 6_000;
+const RECLAIM_COOLDOWN_MILLISECONDS = 6_000;
 
 /** Time beyond the usual start in which ordered servers are expected, in ms. */
 const START_MARGIN_MILLISECONDS = 2_500;
 
 /** Wait before an order without an answer is repeated, in milliseconds. */
-const REPEAT_MILLISECONDS = 1_000;
+const ORDER_RETRY_MILLISECONDS = 1_000;
 
 /**
  * Time after an order without an answer until the newest one is sent again, in
  * milliseconds. The cloud may carry an unanswered order out seconds later, behind
  * newer ones, and tells nobody: what it has then is what an old plan wished.
  */
-const CONFIRM_MILLISECONDS = 6_000;
+const ORDER_CONFIRM_MILLISECONDS = 6_000;
 
 /**
  * Time without a further server after which a deployment's first servers are
@@ -63,8 +63,8 @@
 const REGISTRATION_MILLISECONDS = 2_400;
 
 /** Most servers that were listed before any load, and since when. */
-interface FirstCount {
-  readonly most: number;
+interface InitialServerCount {
+  readonly listed: number;
   readonly since: number;
 }
 
@@ -72,8 +72,8 @@
   /** What the cloud has taken; `undefined` when that is not known. */
   ordered: number | undefined;
   orderedAt: number;
-  fallSince: number | undefined;
-  notBefore: number;
+  excessSince: number | undefined;
+  retryAt: number;
   /** When to repeat the newest order, since an older one may follow it. */
   confirmAt: number | undefined;
 }
@@ -93,7 +93,7 @@
   /** Requests a second that a server takes, where it names a limit. */
   limitOf(record: ServerRecord): number | undefined;
   /** Whether no request has come since this host started. */
-  idle(): boolean;
+  isIdle(): boolean;
 }
 
 /** The duty of ordering servers, for as long as this host holds it. */
@@ -102,8 +102,8 @@
   readonly #states = new Map<string, OrderState>();
   readonly #soldOutUntil = new Map<string, number>();
   /** What the last plan of each service went by, for the log. */
-  readonly #plannedBy = new Map<string, ServiceLoad & { needed: number }>();
-  readonly #firstCounts = new Map<string, FirstCount>();
+  readonly #plannedLoads = new Map<string, ServiceLoad & { needed: number }>();
+  readonly #initialCounts = new Map<string, InitialServerCount>();
   #fence = -1;
 
   constructor(parts: CapacityParts) {
@@ -111,7 +111,11 @@
   }
 
   /** Sends the orders that are due; resolves when all were answered. */
-  async act(routes: RouteIndex, fence: Fence, now: number): Promise<void> {
+  async sendDueOrders(
+    routes: RouteIndex,
+    fence: Fence,
+    now: number,
+  ): Promise<void> {
     if (fence.fence !== this.#fence) {
       this.#fence = fence.fence;
       this.#states.clear();
@@ -120,7 +124,8 @@
       this.#dueOrders(service, now),
     );
     await due.reduce(
-      (previous, order) => previous.then(() => this.#order(order, fence, now)),
+      (previous, order) =>
+        previous.then(() => this.#sendOrder(order, fence, now)),
       Promise.resolve(),
     );
   }
@@ -128,25 +133,27 @@
   #dueOrders(service: Service, now: number): readonly ServerOrder[] {
     const { capacity, engine } = service;
     if (capacity === undefined || engine === undefined) return [];
-    if (this.#parts.idle()) this.#countFirst(service, now);
+    if (this.#parts.isIdle()) this.#recordInitialCount(service, now);
     const load = this.#parts.load(service.name);
-    const loaded = serversNeeded(load, engine);
-    const missing = this.#missing(service, load, {
-      needed: loaded,
+    const neededForLoad = serversNeeded(load, engine);
+    const missing = this.#missingServers(service, load, {
+      needed: neededForLoad,
       now,
     });
     const needed = Math.max(
-      loaded + missing,
-      this.#parts.idle() ? this.#firstNeeded(service, now) : 0,
+      neededForLoad + missing,
+      this.#parts.isIdle() ? this.#initiallyNeeded(service, now) : 0,
     );
     this.#parts.metrics.gauge("servers_missing_by_limits", missing);
-    this.#plannedBy.set(service.name, { ...load, needed });
+    this.#plannedLoads.set(service.name, { ...load, needed });
     this.#parts.metrics.gauge("servers_needed", needed);
-    const halls = this.#halls(service, now);
+    const halls = this.#hallServers(service, now);
     return planCapacity(needed, halls, capacity)
-      .flatMap((wish, index) => {
+      .flatMap((hallTarget, index) => {
         const hall = halls[index];
-        return hall === undefined ? [] : this.#ordersOf(service, wish, hall);
+        return hall === undefined
+          ? []
+          : this.#ordersFor(service, hallTarget, hall);
       })
       .filter(({ order, ready }) => this.#isDue(order, ready, now))
       .map(({ order }) => order);
@@ -156,7 +163,7 @@
    * Servers that are needed in place of limited ones, until the limits end, and of
    * those that rest, by the share of the time that they do.
    */
-  #missing(
+  #missingServers(
     { name }: Service,
     load: ServiceLoad,
     { needed, now }: { readonly needed: number; readonly now: number },
@@ -167,49 +174,52 @@
         (record) => record.isReady && this.#parts.rollouts.counts(record),
       );
     const limits = ready.flatMap((record) => this.#parts.limitOf(record) ?? []);
-    const byLimits = serversMissing(limits, {
+    const byLimits = serversMissingByLimits(limits, {
       running: load.running,
       holdMilliseconds: this.#parts.holdMilliseconds(name),
       needed,
     });
-    const resting = ready.reduce((sum, { rest }) => sum + rest.share(now), 0);
-    return byLimits + Math.ceil(resting);
+    const backingOff = ready.reduce(
+      (sum, { rest }) => sum + rest.share(now),
+      0,
+    );
+    return byLimits + Math.ceil(backingOff);
   }
 
   /**
    * Servers needed before any load: by the number that the deployment began
    * with, or, while that still registers, by what the service may grow to.
    */
-  #firstNeeded({ name, capacity }: Service, now: number): number {
-    const first = this.#firstCounts.get(name);
-    const listed = serversBeforeLoad(first?.most ?? 0);
-    const registers =
-      first === undefined || now - first.since < REGISTRATION_MILLISECONDS;
+  #initiallyNeeded({ name, capacity }: Service, now: number): number {
+    const initial = this.#initialCounts.get(name);
+    const listed = serversBeforeLoad(initial?.listed ?? 0);
+    const isRegistering =
+      initial === undefined || now - initial.since < REGISTRATION_MILLISECONDS;
     const halls = this.#parts.dataHalls.length;
-    return registers && capacity !== undefined
+    return isRegistering && capacity !== undefined
       ? Math.max(listed, serversBeforeListing(capacity, halls))
       : listed;
   }
 
   /** Counts the servers that a deployment begins with while they register. */
-  #countFirst(service: Service, now: number): void {
+  #recordInitialCount(service: Service, now: number): void {
     // Reclaimable ones were ordered by the plan itself.
     const listed = this.#parts.directory
       .of(service.name)
       .filter((record) => !isReclaimable(record)).length;
-    const known = this.#firstCounts.get(service.name);
-    if (known !== undefined && known.most >= listed) return;
-    this.#firstCounts.set(service.name, { most: listed, since: now });
+    const recorded = this.#initialCounts.get(service.name);
+    if (recorded !== undefined && recorded.listed >= listed) return;
+    this.#initialCounts.set(service.name, { listed, since: now });
   }
 
-  #halls(service: Service, now: number): readonly DataHallServers[] {
+  #hallServers(service: Service, now: number): readonly DataHallServers[] {
     // Servers of a version that is still judged carry nothing yet.
     const records = this.#parts.directory
       .of(service.name)
       .filter((record) => this.#parts.rollouts.counts(record));
-    const priced = service.capacity?.dataHallPrices;
+    const hallPrices = service.capacity?.dataHallPrices;
     return this.#parts.dataHalls
-      .filter((dataHall) => priced?.has(dataHall) ?? true)
+      .filter((dataHall) => hallPrices?.has(dataHall) ?? true)
       .map((dataHall) => {
         const ready = records.filter(
           ({ entry }) => entry.dataHall === dataHall && entry.state === "ready",
@@ -218,7 +228,7 @@
           dataHall,
           onDemandReady: ready.filter((r) => !r.entry.reclaimable).length,
           reclaimableReady: ready.filter(isReclaimable).length,
-          reclaimableExpected: this.#expected(service, dataHall, {
+          reclaimableExpected: this.#expectedReclaimable(service, dataHall, {
             ready: ready.filter(isReclaimable).length,
             now,
           }),
@@ -228,17 +238,18 @@
   }
 
   /** Reclaimable servers that are ready or should soon be. */
-  #expected(
+  #expectedReclaimable(
     service: Service,
     dataHall: string,
     options: { readonly ready: number; readonly now: number },
   ): number {
     const state = this.#states.get(stateKey(service.name, dataHall, true));
-    const start = service.capacity?.startMilliseconds ?? 0;
-    const starting =
+    const startMilliseconds = service.capacity?.startMilliseconds ?? 0;
+    const isStarting =
       state?.ordered !== undefined &&
-      options.now - state.orderedAt < start + START_MARGIN_MILLISECONDS;
-    return starting
+      options.now - state.orderedAt <
+        startMilliseconds + START_MARGIN_MILLISECONDS;
+    return isStarting
       ? Math.max(options.ready, state.ordered ?? 0)
       : options.ready;
   }
@@ -253,22 +264,23 @@
    * A reclaimable server was announced to leave. Where more were ordered than
    * are left, the cloud takes them back and has none to give for a while.
    */
-  reclaimableLeaves(
+  recordAnnouncedReclaim(
     service: string,
     dataHall: string,
-    options: { readonly left: number; readonly now: number },
+    options: { readonly remaining: number; readonly now: number },
   ): void {
     const state = this.#states.get(stateKey(service, dataHall, true));
-    if (state?.ordered === undefined || state.ordered <= options.left) return;
+    if (state?.ordered === undefined || state.ordered <= options.remaining)
+      return;
     state.ordered = 0;
-    const until = options.now + RECLAIMED_MILLISECONDS;
+    const until = options.now + RECLAIM_COOLDOWN_MILLISECONDS;
     this.#soldOutUntil.set(`${service}/${dataHall}`, until);
     this.#parts.metrics.event("reclaim_seen");
   }
 
-  #ordersOf(
+  #ordersFor(
     service: Service,
-    wish: DataHallWish,
+    hallTarget: DataHallTarget,
     hall: DataHallServers,
   ): readonly { readonly order: ServerOrder; readonly ready: number }[] {
     const common = { service: service.name, dataHall: hall.dataHall };
@@ -276,27 +288,27 @@
       stateKey(service.name, hall.dataHall, false),
     );
     // While the first servers register, more may be there than were ordered.
-    const current = this.#parts.idle()
+    const current = this.#parts.isIdle()
       ? Math.max(onDemand?.ordered ?? 0, hall.onDemandReady)
       : (onDemand?.ordered ?? hall.onDemandReady);
-    const kept = Math.min(
-      wish.onDemandMost,
-      Math.max(wish.onDemandLeast, current),
+    const onDemandDesired = Math.min(
+      hallTarget.onDemandMaximum,
+      Math.max(hallTarget.onDemandMinimum, current),
     );
     const orders = [
       {
-        order: { ...common, reclaimable: false, desired: kept },
+        order: { ...common, reclaimable: false, desired: onDemandDesired },
         ready: hall.onDemandReady,
       },
     ];
-    return wish.reclaimable === undefined
+    return hallTarget.reclaimable === undefined
       ? orders
       : [
           {
             order: {
               ...common,
               reclaimable: true,
-              desired: wish.reclaimable,
+              desired: hallTarget.reclaimable,
             },
             ready: hall.reclaimableReady,
           },
@@ -305,26 +317,31 @@
   }
 
   #isDue(order: ServerOrder, ready: number, now: number): boolean {
-    const state = this.#state(order);
+    const state = this.#orderState(order);
     const current = state.ordered ?? ready;
-    const confirms = state.confirmAt !== undefined && now >= state.confirmAt;
+    const needsConfirmation =
+      state.confirmAt !== undefined && now >= state.confirmAt;
     if (order.desired === current) {
-      state.fallSince = undefined;
-      return confirms && now >= state.notBefore;
+      state.excessSince = undefined;
+      return needsConfirmation && now >= state.retryAt;
     }
-    if (now < state.notBefore) return false;
+    if (now < state.retryAt) return false;
     if (order.desired > current) return true;
     // A roll-out needs all that there are; what is too many falls after it.
     if (this.#parts.rollouts.isMoving(order.service)) return false;
-    state.fallSince ??= now;
+    state.excessSince ??= now;
     const wait = order.reclaimable
-      ? FALL_MILLISECONDS
-      : FALL_ON_DEMAND_MILLISECONDS;
-    return now - state.fallSince >= (this.#parts.idle() ? 0 : wait);
+      ? SCALE_DOWN_DELAY_MILLISECONDS
+      : ON_DEMAND_SCALE_DOWN_DELAY_MILLISECONDS;
+    return now - state.excessSince >= (this.#parts.isIdle() ? 0 : wait);
   }
 
-  async #order(order: ServerOrder, fence: Fence, now: number): Promise<void> {
-    const state = this.#state(order);
+  async #sendOrder(
+    order: ServerOrder,
+    fence: Fence,
+    now: number,
+  ): Promise<void> {
+    const state = this.#orderState(order);
     const outcome = await this.#parts.cloud.orderServers(order, fence);
     const result = outcome.isOk ? "taken" : outcome.error;
     this.#parts.metrics.event(`order_${result}`);
@@ -334,7 +351,7 @@
       reclaimable: order.reclaimable,
       desired: order.desired,
       before: state.ordered,
-      ...this.#plannedBy.get(order.service),
+      ...this.#plannedLoads.get(order.service),
       fence: fence.fence,
       outcome: result,
     });
@@ -343,26 +360,26 @@
       if (due) state.confirmAt = undefined;
       state.ordered = order.desired;
       state.orderedAt = now;
-      state.fallSince = undefined;
+      state.excessSince = undefined;
       return;
     }
-    state.notBefore = now + REPEAT_MILLISECONDS;
+    state.retryAt = now + ORDER_RETRY_MILLISECONDS;
     if (outcome.error === "no_answer") {
-      state.confirmAt = now + CONFIRM_MILLISECONDS;
+      state.confirmAt = now + ORDER_CONFIRM_MILLISECONDS;
     }
     if (outcome.error === "conflict" && order.reclaimable) {
-      const place = `${order.service}/${order.dataHall}`;
-      this.#soldOutUntil.set(place, now + SOLD_OUT_MILLISECONDS);
+      const hallKey = `${order.service}/${order.dataHall}`;
+      this.#soldOutUntil.set(hallKey, now + SOLD_OUT_RETRY_MILLISECONDS);
     }
   }
 
-  #state(order: ServerOrder): OrderState {
+  #orderState(order: ServerOrder): OrderState {
     const key = stateKey(order.service, order.dataHall, order.reclaimable);
     const state = this.#states.get(key) ?? {
       ordered: undefined,
       orderedAt: 0,
-      fallSince: undefined,
-      notBefore: 0,
+      excessSince: undefined,
+      retryAt: 0,
       confirmAt: undefined,
     };
     this.#states.set(key, state);
--- a/packages/rampswitch-serving/src/duties/capacity_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty_test.ts
@@ -41,9 +41,9 @@
 
 /** A duty before any load, with a cloud that takes every order it answers. */
 function idleDuty(
-  answers: () => boolean = () => true,
-  loaded: Partial<
-    Pick<CapacityParts, "load" | "holdMilliseconds" | "limitOf" | "idle">
+  doesAnswer: () => boolean = () => true,
+  overrides: Partial<
+    Pick<CapacityParts, "load" | "holdMilliseconds" | "limitOf" | "isIdle">
   > = {},
 ): {
   readonly duty: CapacityDuty;
@@ -58,7 +58,7 @@
       orderServers: (order) => {
         orders.push(order);
         return Promise.resolve(
-          answers() ? Result.ok(undefined) : Result.err("no_answer"),
+          doesAnswer() ? Result.ok(undefined) : Result.err("no_answer"),
         );
       },
     },
@@ -70,13 +70,13 @@
     load: () => ({ running: 0, readTokensPerSecond: 0, readingRate: 40 }),
     holdMilliseconds: () => 1_000,
     limitOf: () => undefined,
-    idle: () => true,
-    ...loaded,
+    isIdle: () => true,
+    ...overrides,
   });
   return { duty, orders, directory };
 }
 
-function list(directory: ServerDirectory, count: number): void {
+function listServers(directory: ServerDirectory, count: number): void {
   Array.from({ length: count }, (_, index) =>
     directory.put(
       {
@@ -98,20 +98,20 @@
 describe("servers before the first load", () => {
   test("are ordered at once, by what the service may grow to", async () => {
     const { duty, orders, directory } = idleDuty();
-    list(directory, 3);
-    await duty.act(ROUTES, FENCE, 0);
-    expect(desired(orders, true)).toBeGreaterThanOrEqual(54);
-    expect(desired(orders, false)).toBeGreaterThanOrEqual(54);
+    listServers(directory, 3);
+    await duty.sendDueOrders(ROUTES, FENCE, 0);
+    expect(totalDesired(orders, true)).toBeGreaterThanOrEqual(54);
+    expect(totalDesired(orders, false)).toBeGreaterThanOrEqual(54);
   });
 
   test("are not sent away while they still register", async () => {
     const { duty, orders, directory } = idleDuty();
     for (let at = 0; at <= 3_000; at += 500) {
       const listed = 1 + (at / 500) * 15;
-      list(directory, listed);
-      await duty.act(ROUTES, FENCE, at);
+      listServers(directory, listed);
+      await duty.sendDueOrders(ROUTES, FENCE, at);
       // 0.6 of 90 servers on demand are kept, or all that are there.
-      expect(onDemandAfter(orders, directory)).toBeGreaterThanOrEqual(
+      expect(onDemandAfterOrders(orders, directory)).toBeGreaterThanOrEqual(
         Math.min(54, listed),
       );
     }
@@ -119,9 +119,9 @@
 
   test("are planned by all that registered", async () => {
     const { duty, orders, directory } = idleDuty();
-    list(directory, 20);
-    await duty.act(ROUTES, FENCE, 0);
-    await duty.act(ROUTES, FENCE, 9_000);
+    listServers(directory, 20);
+    await duty.sendDueOrders(ROUTES, FENCE, 0);
+    await duty.sendDueOrders(ROUTES, FENCE, 9_000);
     const last = new Map(
       orders
         .filter(({ reclaimable }) => reclaimable)
@@ -134,28 +134,32 @@
 
 describe("servers that name limits", () => {
   /** Reclaimable servers that are ordered while some servers name a limit. */
-  async function orderedWith(limits: readonly number[]): Promise<number> {
+  async function reclaimableOrderedWith(
+    limits: readonly number[],
+  ): Promise<number> {
     const { duty, orders, directory } = idleDuty(() => true, {
-      idle: () => false,
+      isIdle: () => false,
       // Some 16 requests a second for each of the servers that this load needs.
       load: () => ({ running: 160, readTokensPerSecond: 0, readingRate: 40 }),
       limitOf: ({ entry }) => limits[Number(entry.id.slice(1))],
     });
-    list(directory, 20);
-    await duty.act(ROUTES, FENCE, 60_000);
-    return desired(orders, true);
+    listServers(directory, 20);
+    await duty.sendDueOrders(ROUTES, FENCE, 60_000);
+    return totalDesired(orders, true);
   }
 
   test("are replaced by what they do not take", async () => {
-    const usual = await orderedWith([]);
-    const replaced = await orderedWith([1, 1.2, 0.5, 0]);
+    const usual = await reclaimableOrderedWith([]);
+    const replaced = await reclaimableOrderedWith([1, 1.2, 0.5, 0]);
     // Four servers, 16/9 of them for the reserve.
     expect(replaced - usual).toBeGreaterThanOrEqual(6);
     expect(replaced - usual).toBeLessThanOrEqual(8);
   });
 
   test("are not where they take as much as any", async () => {
-    expect(await orderedWith([80, 80])).toBe(await orderedWith([]));
+    expect(await reclaimableOrderedWith([80, 80])).toBe(
+      await reclaimableOrderedWith([]),
+    );
   });
 });
 
@@ -167,25 +171,29 @@
   ): Promise<readonly (readonly ServerOrder[])[]> {
     let second = 0;
     const { duty, orders, directory } = idleDuty(() => answersAt(second));
-    list(directory, 60);
+    listServers(directory, 60);
     const sent: (readonly ServerOrder[])[] = [];
     for (; second < seconds; second += 1) {
       const before = orders.length;
       for (let part = 0; part < 4; part += 1) {
-        await duty.act(ROUTES, FENCE, 10_000 + second * 1_000 + part * 250);
+        await duty.sendDueOrders(
+          ROUTES,
+          FENCE,
+          10_000 + second * 1_000 + part * 250,
+        );
       }
       sent.push(orders.slice(before));
     }
     return sent;
   }
 
-  function subject({ dataHall, reclaimable }: ServerOrder): string {
+  function subjectOf({ dataHall, reclaimable }: ServerOrder): string {
     return `${dataHall}/${reclaimable}`;
   }
 
   test("are repeated once a second, and not forgotten", async () => {
     const sent = await ordersBySecond(6, (second) => second >= 4);
-    const subjects = sent.map((orders) => orders.map(subject));
+    const subjects = sent.map((orders) => orders.map(subjectOf));
     subjects.slice(0, 4).forEach((names) => {
       expect(names.length).toBeGreaterThan(0);
       expect(new Set(names).size).toBe(names.length);
@@ -195,10 +203,10 @@
 
   test("are sent once more after it, since they may be carried out late", async () => {
     const sent = await ordersBySecond(20, (second) => second >= 2);
-    const unanswered = new Set(sent.slice(0, 2).flat().map(subject));
+    const unanswered = new Set(sent.slice(0, 2).flat().map(subjectOf));
     const answered = sent.slice(2).flat();
     unanswered.forEach((name) => {
-      const orders = answered.filter((order) => subject(order) === name);
+      const orders = answered.filter((order) => subjectOf(order) === name);
       const repeated = orders.filter(
         ({ desired }, index) => desired === orders[index - 1]?.desired,
       );
@@ -208,7 +216,7 @@
 });
 
 /** Servers on demand over all data halls once the orders are carried out. */
-function onDemandAfter(
+function onDemandAfterOrders(
   orders: readonly ServerOrder[],
   directory: ServerDirectory,
 ): number {
@@ -223,7 +231,10 @@
   }, 0);
 }
 
-function desired(orders: readonly ServerOrder[], reclaimable: boolean): number {
+function totalDesired(
+  orders: readonly ServerOrder[],
+  reclaimable: boolean,
+): number {
   return orders
     .filter((order) => order.reclaimable === reclaimable)
     .reduce((sum, order) => sum + order.desired, 0);
--- a/packages/rampswitch-serving/src/duties/capacity_plan.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_plan.ts
@@ -30,70 +30,72 @@
 }
 
 /** Servers wished for in one data hall. */
-export interface DataHallWish {
+export interface DataHallTarget {
   readonly dataHall: string;
   /** `undefined`: leave what was ordered, since none can be had. */
   readonly reclaimable: number | undefined;
   /** On demand, at least and at most; in between nothing needs to change. */
-  readonly onDemandLeast: number;
-  readonly onDemandMost: number;
+  readonly onDemandMinimum: number;
+  readonly onDemandMaximum: number;
 }
 
 /**
  * Most of its time, or of its slots, that an engine of a large fleet is planned
  * to use; the rest keeps waits for first tokens within the targets.
  */
-const LARGE_FLEET_SHARE = 0.55;
+const LARGE_FLEET_UTILIZATION = 0.55;
 
 /**
  * Engines on top for each square root of the engines that the load fills: the
  * fewer engines share the load, the more of them wait for its peaks.
  */
-const ENGINES_FOR_PEAKS = 1.65;
+const PEAK_RESERVE_FACTOR = 1.65;
 
 /**
  * Reclaimable servers that are to be left, for each one that the load needs,
  * when one data hall is reclaimed. They carry the load, the runs that move and
  * the prompts that are read again.
  */
-const LEFT_AFTER_RECLAIM = 4 / 3;
+const REMAINING_AFTER_RECLAIM_RATIO = 4 / 3;
 
 /** Reclaimable servers to order for each one that the load needs. */
-function reclaimReserve(dataHalls: number): number {
-  return (LEFT_AFTER_RECLAIM * dataHalls) / Math.max(1, dataHalls - 1);
+function reclaimReserveRatio(dataHalls: number): number {
+  return (
+    (REMAINING_AFTER_RECLAIM_RATIO * dataHalls) / Math.max(1, dataHalls - 1)
+  );
 }
 
 /**
  * Share of the servers needed that has to be left when the data hall with most
  * reclaimable ones is reclaimed. Others can then be had in the other halls.
  */
-const LEFT_AT_LEAST = 0.35;
+const MINIMUM_REMAINING_SHARE = 0.35;
 
 /**
  * The same while reclaims leave no others to be had: only servers on demand
  * can follow, and those take seconds to start. The plan uses servers to 0.55 at
  * most, so three quarters of them carry the load meanwhile.
  */
-const LEFT_WHILE_SOLD_OUT = 0.75;
+const MINIMUM_REMAINING_SHARE_WHILE_SOLD_OUT = 0.75;
 
 /**
  * Largest part of the servers on demand that one data hall has. The cheapest
  * two share them: a third or fourth would cost more and protect little more.
  */
-const LARGEST_PART_OF_HALL = 0.5;
+const MAXIMUM_HALL_SHARE = 0.5;
 
 /** Fewest servers that a service with any load is planned with. */
-const LEAST_SERVERS = 3;
+const MINIMUM_SERVERS = 3;
 
 /**
  * Share of the servers that a deployment begins with that is kept until its
  * first load tells more.
  */
-const FIRST_SHARE = 0.6;
+const INITIAL_SERVERS_SHARE = 0.6;
 
 /** Servers to have before any request has come. */
 export function serversBeforeLoad(listed: number): number {
-  return Math.max(LEAST_SERVERS, Math.ceil(listed * FIRST_SHARE));
+  return Math.max(MINIMUM_SERVERS, Math.ceil(listed * INITIAL_SERVERS_SHARE));
 }
 
 /**
@@ -101,33 +103,34 @@
  * before its first servers are listed: deployments begin with about half of the
  * most, and FIRST_SHARE of that is kept.
  */
-const FIRST_SHARE_OF_MOST = FIRST_SHARE / 2;
+const INITIAL_SHARE_OF_MAXIMUM = INITIAL_SERVERS_SHARE / 2;
 
 /** Servers to have before it is known how many there are. */
 export function serversBeforeListing(
   limits: CapacityLimits,
   dataHalls: number,
 ): number {
-  return Math.ceil(limits.maximum * dataHalls * FIRST_SHARE_OF_MOST);
+  return Math.ceil(limits.maximum * dataHalls * INITIAL_SHARE_OF_MAXIMUM);
 }
 
 /** Servers that a load needs. */
 export function serversNeeded(load: ServiceLoad, engine: EngineLimits): number {
   const reading = load.readTokensPerSecond / (load.readingRate * 1_000);
   const running = load.running / engine.slots;
-  const filled = Math.max(reading, running);
+  const busyEngines = Math.max(reading, running);
   const needed =
-    filled / LARGE_FLEET_SHARE + ENGINES_FOR_PEAKS * Math.sqrt(filled);
-  return Math.max(LEAST_SERVERS, Math.ceil(needed));
+    busyEngines / LARGE_FLEET_UTILIZATION +
+    PEAK_RESERVE_FACTOR * Math.sqrt(busyEngines);
+  return Math.max(MINIMUM_SERVERS, Math.ceil(needed));
 }
 
 /**
  * Servers whose work others have to do, since they name limits: each counts for the
  * share that it takes of what a server of the service usually gets.
  */
-export function serversMissing(
+export function serversMissingByLimits(
   limits: readonly number[],
-  usual: {
+  typicalLoad: {
     /** Requests that run at all servers together. */
     readonly running: number;
     /** Time for which a request holds a place, in milliseconds. */
@@ -137,7 +140,8 @@
   },
 ): number {
   const perSecond =
-    (1_000 * usual.running) / (usual.holdMilliseconds * usual.needed);
+    (1_000 * typicalLoad.running) /
+    (typicalLoad.holdMilliseconds * typicalLoad.needed);
   if (!(perSecond > 0)) return 0;
   const missing = limits.map((limit) => 1 - Math.min(1, limit / perSecond));
   return Math.ceil(sum(missing));
@@ -152,36 +156,38 @@
   needed: number,
   halls: readonly DataHallServers[],
   limits: CapacityLimits,
-): readonly DataHallWish[] {
+): readonly DataHallTarget[] {
   const cheapest = halls.toSorted(
     (left, right) =>
       (limits.dataHallPrices.get(left.dataHall) ?? 1) -
       (limits.dataHallPrices.get(right.dataHall) ?? 1),
   );
-  const open = cheapest.filter((hall) => !hall.reclaimableSoldOut);
-  const leftShare =
-    open.length < halls.length ? LEFT_WHILE_SOLD_OUT : LEFT_AT_LEAST;
-  const onDemand = (count: (hall: DataHallServers) => number) =>
+  const availableHalls = cheapest.filter((hall) => !hall.reclaimableSoldOut);
+  const remainingShare =
+    availableHalls.length < halls.length
+      ? MINIMUM_REMAINING_SHARE_WHILE_SOLD_OUT
+      : MINIMUM_REMAINING_SHARE;
+  const onDemandPerHall = (count: (hall: DataHallServers) => number) =>
     fillCheapest(
-      missingOnDemand(needed, halls.map(count), leftShare),
+      onDemandNeeded(needed, halls.map(count), remainingShare),
       cheapest.map((hall) => ({
         dataHall: hall.dataHall,
         ready: hall.onDemandReady,
-        room: Math.max(0, limits.maximum - count(hall)),
+        headroom: Math.max(0, limits.maximum - count(hall)),
       })),
     );
-  const reclaimable = spread(
-    Math.ceil(needed * reclaimReserve(halls.length)),
-    open,
+  const reclaimable = spreadEvenly(
+    Math.ceil(needed * reclaimReserveRatio(halls.length)),
+    availableHalls,
     limits,
   );
-  const least = onDemand((hall) => hall.reclaimableExpected);
-  const most = onDemand((hall) => hall.reclaimableReady);
+  const minimums = onDemandPerHall((hall) => hall.reclaimableExpected);
+  const maximums = onDemandPerHall((hall) => hall.reclaimableReady);
   return halls.map(({ dataHall }) => ({
     dataHall,
     reclaimable: reclaimable.get(dataHall),
-    onDemandLeast: least.get(dataHall) ?? 0,
-    onDemandMost: most.get(dataHall) ?? 0,
+    onDemandMinimum: minimums.get(dataHall) ?? 0,
+    onDemandMaximum: maximums.get(dataHall) ?? 0,
   }));
 }
 
@@ -189,61 +195,69 @@
  * Servers on demand that are needed beside reclaimable ones: to carry the load,
  * and to carry most of it when the data hall with most of them is reclaimed.
  */
-function missingOnDemand(
+function onDemandNeeded(
   needed: number,
   reclaimable: readonly number[],
-  leftShare: number,
+  remainingShare: number,
 ): number {
-  const all = reclaimable.reduce((sum, count) => sum + count, 0);
-  const leftAfterReclaim = all - Math.max(0, ...reclaimable);
+  const total = reclaimable.reduce((sum, count) => sum + count, 0);
+  const remainingAfterReclaim = total - Math.max(0, ...reclaimable);
   return Math.max(
     0,
-    needed - all,
-    Math.ceil(needed * leftShare) - leftAfterReclaim,
+    needed - total,
+    Math.ceil(needed * remainingShare) - remainingAfterReclaim,
   );
 }
 
 /** A data hall that servers on demand may be in. */
-interface HallOnDemand {
+interface OnDemandHall {
   readonly dataHall: string;
   readonly ready: number;
-  readonly room: number;
+  readonly headroom: number;
 }
 
 /** Keeps servers that are ready, and fills the cheapest data halls with others. */
 function fillCheapest(
   count: number,
-  halls: readonly HallOnDemand[],
+  halls: readonly OnDemandHall[],
 ): ReadonlyMap<string, number> {
-  const part = Math.ceil(count * LARGEST_PART_OF_HALL);
-  const kept = inTurn(
+  const hallLimit = Math.ceil(count * MAXIMUM_HALL_SHARE);
+  const retained = fillInOrder(
     count,
-    halls.map(({ ready, room }) => Math.min(ready, room)),
+    halls.map(({ ready, headroom }) => Math.min(ready, headroom)),
   );
-  const parted = inTurn(
-    count - sum(kept),
-    halls.map(({ room }, index) =>
-      Math.max(0, Math.min(room, part) - (kept[index] ?? 0)),
+  const withinShare = fillInOrder(
+    count - sum(retained),
+    halls.map(({ headroom }, index) =>
+      Math.max(0, Math.min(headroom, hallLimit) - (retained[index] ?? 0)),
     ),
   );
-  const crowded = inTurn(
-    count - sum(kept) - sum(parted),
+  const beyondShare = fillInOrder(
+    count - sum(retained) - sum(withinShare),
     halls.map(
-      ({ room }, index) => room - (kept[index] ?? 0) - (parted[index] ?? 0),
+      ({ headroom }, index) =>
+        headroom - (retained[index] ?? 0) - (withinShare[index] ?? 0),
     ),
   );
   return new Map(
     halls.map(({ dataHall }, index) => [
       dataHall,
-      sum([kept, parted, crowded].map((counts) => counts[index] ?? 0)),
+      sum(
+        [retained, withinShare, beyondShare].map(
+          (counts) => counts[index] ?? 0,
+        ),
+      ),
     ]),
   );
 }
 
 /** Gives each place in turn what it has room for, until nothing is left. */
-function inTurn(count: number, rooms: readonly number[]): readonly number[] {
-  return rooms.map((room, index) =>
-    Math.min(room, Math.max(0, count - sum(rooms.slice(0, index)))),
+function fillInOrder(
+  count: number,
+  headrooms: readonly number[],
+): readonly number[] {
+  return headrooms.map((headroom, index) =>
+    Math.min(headroom, Math.max(0, count - sum(headrooms.slice(0, index)))),
   );
 }
 
@@ -252,17 +266,17 @@
 }
 
 /** Spreads servers evenly; the first data halls get what is left over. */
-function spread(
+function spreadEvenly(
   count: number,
   halls: readonly DataHallServers[],
   limits: CapacityLimits,
 ): ReadonlyMap<string, number> {
-  const even = Math.floor(count / Math.max(1, halls.length));
-  const left = count - even * halls.length;
+  const perHall = Math.floor(count / Math.max(1, halls.length));
+  const remainder = count - perHall * halls.length;
   return new Map(
     halls.map((hall, index) => [
       hall.dataHall,
-      Math.min(limits.maximum, even + (index < left ? 1 : 0)),
+      Math.min(limits.maximum, perHall + (index < remainder ? 1 : 0)),
     ]),
   );
 }
--- a/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
@@ -5,7 +5,7 @@
 import type { CapacityLimits } from "../model/configuration.ts";
 import {
   type DataHallServers,
-  type DataHallWish,
+  type DataHallTarget,
   planCapacity,
   serversNeeded,
 } from "./capacity_plan.ts";
@@ -37,8 +37,11 @@
   };
 }
 
-function onDemandOf(wishes: readonly DataHallWish[]): number {
-  return wishes.reduce((sum, wish) => sum + wish.onDemandLeast, 0);
+function minimumOnDemand(hallTargets: readonly DataHallTarget[]): number {
+  return hallTargets.reduce(
+    (sum, hallTarget) => sum + hallTarget.onDemandMinimum,
+    0,
+  );
 }
 
 const READY = { reclaimableReady: 3, reclaimableExpected: 3 };
@@ -61,7 +64,9 @@
       const needed = serversNeeded({ ...load, readingRate: 50 }, engine);
       return filled / needed;
     });
-    expect(shares).toEqual(shares.toSorted((left, right) => left - right));
+    expect(shares).toEqual(
+      shares.toSorted((soldOutHalls, right) => soldOutHalls - right),
+    );
     expect(shares.at(-1)).toBeGreaterThan(0.45);
     expect(shares.at(-1)).toBeLessThan(0.55);
   });
@@ -70,14 +75,18 @@
 describe("plan of servers", () => {
   test("carries the load with reclaimable servers and a reserve", () => {
     const halls = ["a", "b", "c", "d"].map((name) => hall(name, READY));
-    const wishes = planCapacity(8, halls, LIMITS);
-    const reclaimable = wishes.map((wish) => wish.reclaimable ?? 0);
+    const hallTargets = planCapacity(8, halls, LIMITS);
+    const reclaimable = hallTargets.map(
+      (hallTarget) => hallTarget.reclaimable ?? 0,
+    );
     expect(reclaimable.reduce((sum, count) => sum + count, 0)).toBe(15);
     // Without the data hall that has most, a third more than needed is left.
     const left = 15 - Math.max(...reclaimable);
     expect(left).toBeGreaterThanOrEqual(Math.floor((8 * 4) / 3));
     expect(Math.max(...reclaimable) - Math.min(...reclaimable)).toBe(1);
-    expect(wishes.every((wish) => wish.onDemandMost === 0)).toBe(true);
+    expect(
+      hallTargets.every((hallTarget) => hallTarget.onDemandMaximum === 0),
+    ).toBe(true);
   });
 
   test("after a reclaim, the other data halls carry its part", () => {
@@ -85,11 +94,13 @@
       hall("a", { reclaimableSoldOut: true }),
       ...["b", "c", "d"].map((name) => hall(name, READY)),
     ];
-    const wishes = planCapacity(9, halls, LIMITS);
-    expect(wishes[0]?.reclaimable).toBeUndefined();
-    expect(wishes.slice(1).map((wish) => wish.reclaimable)).toEqual([6, 5, 5]);
+    const hallTargets = planCapacity(9, halls, LIMITS);
+    expect(hallTargets[0]?.reclaimable).toBeUndefined();
+    expect(
+      hallTargets.slice(1).map((hallTarget) => hallTarget.reclaimable),
+    ).toEqual([6, 5, 5]);
     // Nine are left, six after the next reclaim, of seven that are to be left.
-    expect(onDemandOf(wishes)).toBe(1);
+    expect(minimumOnDemand(hallTargets)).toBe(1);
   });
 
   test("orders most that are needed on demand before the last data hall is reclaimed", () => {
@@ -99,7 +110,7 @@
       ),
       hall("d", { reclaimableReady: 7, reclaimableExpected: 7 }),
     ];
-    expect(onDemandOf(planCapacity(6, halls, LIMITS))).toBe(5);
+    expect(minimumOnDemand(planCapacity(6, halls, LIMITS))).toBe(5);
   });
 
   test("orders some on demand where one data hall holds most of the others", () => {
@@ -108,7 +119,7 @@
       hall("d", { reclaimableReady: 7, reclaimableExpected: 7 }),
     ];
     // 0.35 of the six that are needed.
-    expect(onDemandOf(planCapacity(6, halls, LIMITS))).toBe(3);
+    expect(minimumOnDemand(planCapacity(6, halls, LIMITS))).toBe(3);
   });
 
   test("orders what the next reclaim would leave missing once none are to be had", () => {
@@ -122,11 +133,11 @@
           reclaimableExpected: count,
         });
       });
-    const wished = (counts: readonly number[]) =>
-      onDemandOf(planCapacity(7, left(counts), LIMITS));
-    expect(wished([4, 5, 4, 0])).toBe(0);
-    expect(wished([4, 0, 4, 0])).toBe(2);
-    expect(wished([4, 0, 0, 0])).toBe(6);
+    const minimumFor = (counts: readonly number[]) =>
+      minimumOnDemand(planCapacity(7, left(counts), LIMITS));
+    expect(minimumFor([4, 5, 4, 0])).toBe(0);
+    expect(minimumFor([4, 0, 4, 0])).toBe(2);
+    expect(minimumFor([4, 0, 0, 0])).toBe(6);
   });
 
   test("puts servers on demand into the two cheapest data halls, where they have room", () => {
@@ -134,7 +145,9 @@
       hall(name, { reclaimableSoldOut: true }),
     );
     const wished = (needed: number) =>
-      planCapacity(needed, halls, LIMITS).map((wish) => wish.onDemandLeast);
+      planCapacity(needed, halls, LIMITS).map(
+        (hallTarget) => hallTarget.onDemandMinimum,
+      );
     expect(wished(8)).toEqual([0, 4, 0, 4]);
     expect(wished(17)).toEqual([3, 7, 0, 7]);
   });
@@ -143,9 +156,13 @@
     const halls = ["a", "b"].map((name) =>
       hall(name, { onDemandReady: 3, reclaimableExpected: 5 }),
     );
-    const wishes = planCapacity(6, halls, LIMITS);
-    expect(wishes.map((wish) => wish.onDemandLeast)).toEqual([0, 0]);
-    expect(wishes.map((wish) => wish.onDemandMost)).toEqual([3, 3]);
+    const hallTargets = planCapacity(6, halls, LIMITS);
+    expect(hallTargets.map((hallTarget) => hallTarget.onDemandMinimum)).toEqual(
+      [0, 0],
+    );
+    expect(hallTargets.map((hallTarget) => hallTarget.onDemandMaximum)).toEqual(
+      [3, 3],
+    );
   });
 
   test("covers the load wherever the limits allow, with any servers sold out", () => {
@@ -167,14 +184,23 @@
           const halls = ["a", "b", "c", "d"].map((name, index) =>
             hall(name, servers[index]),
           );
-          const wishes = planCapacity(needed, halls, LIMITS);
+          const hallTargets = planCapacity(needed, halls, LIMITS);
           const ready = halls.reduce((sum, h) => sum + h.reclaimableReady, 0);
-          const onDemand = wishes.reduce((sum, w) => sum + w.onDemandLeast, 0);
+          const onDemand = hallTargets.reduce(
+            (sum, w) => sum + w.onDemandMinimum,
+            0,
+          );
           expect(ready + onDemand).toBeGreaterThanOrEqual(needed);
-          wishes.forEach((wish) => {
-            expect(wish.onDemandLeast).toBeLessThanOrEqual(wish.onDemandMost);
-            expect(wish.onDemandMost).toBeLessThanOrEqual(LIMITS.maximum);
-            expect(wish.reclaimable ?? 0).toBeLessThanOrEqual(LIMITS.maximum);
+          hallTargets.forEach((hallTarget) => {
+            expect(hallTarget.onDemandMinimum).toBeLessThanOrEqual(
+              hallTarget.onDemandMaximum,
+            );
+            expect(hallTarget.onDemandMaximum).toBeLessThanOrEqual(
+              LIMITS.maximum,
+            );
+            expect(hallTarget.reclaimable ?? 0).toBeLessThanOrEqual(
+              LIMITS.maximum,
+            );
           });
         },
       ),
--- a/packages/rampswitch-serving/src/duties/duty_keeper.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper.ts
@@ -19,42 +19,42 @@
 import type { ServingMetrics } from "../observation/mod.ts";
 import {
   decideTake,
-  mayAct,
-  takenLease,
+  canAct,
+  newLease,
   type DutyLease,
   type LeaseTimes,
-  type SeenLease,
+  type ObservedLease,
   type StoreHistory,
 } from "./duty_lease.ts";
 import {
   type FinalReports,
   type FinalUsage,
-  tellsMore,
+  shouldStoreAtOnce,
 } from "./final_usage.ts";
 import { decodeLease, encodeLease } from "./lease_codec.ts";
-import type { LifeCounts } from "./usage_counter.ts";
+import type { IncarnationCounts } from "./usage_counter.ts";
 
 /** Time between looks at the lease, in milliseconds. */
-const TICK_MILLISECONDS = 250;
+const LEASE_CHECK_INTERVAL_MILLISECONDS = 250;
 
 /** Wait before another look after a failed call to the store. */
-const RETRY_MILLISECONDS = 500;
+const STORE_RETRY_MILLISECONDS = 500;
 
 /** Spread of the first looks of candidates, in milliseconds. */
-const CANDIDATE_SPREAD_MILLISECONDS = 400;
+const CANDIDATE_JITTER_MILLISECONDS = 400;
 
 /** What the keeper asks of the duties. */
 export interface Duties {
   /** What is final from now on: all that was, and what has become so. */
   finalUsage(known: FinalUsage): FinalUsage;
   /** Counts to keep with the lease until they are final. */
-  counts(final: FinalUsage): LifeCounts;
+  openCounts(final: FinalUsage): IncarnationCounts;
   /** Takes in counts that a former holder kept. */
-  restore(counts: LifeCounts): void;
+  restoreCounts(counts: IncarnationCounts): void;
   /** Tells of what a renewal has surely stored in place of what was before. */
-  stored(final: FinalUsage, before: FinalUsage): void;
+  onStored(final: FinalUsage, before: FinalUsage): void;
   /** Acts under the fence; `reports` are in the store. */
-  act(reports: FinalReports, fence: Fence): Promise<void>;
+  perform(reports: FinalReports, fence: Fence): Promise<void>;
 }
 
 /** What the keeper works with. */
@@ -77,92 +77,92 @@
   readonly metrics: ServingMetrics;
   readonly duties: Duties;
   /** Whether this host hears enough of the others to hold the duties. */
-  eligible(): boolean;
+  isEligible(): boolean;
 }
 
-interface Held {
+interface HeldLease {
   lease: DutyLease;
   version: number;
   /** When each renewal that may still take effect was sent, by its number. */
-  readonly sentAt: Map<number, number>;
+  readonly sentAtByRenewal: Map<number, number>;
   /** Number of the last renewal that was sent. */
   lastRenewal: number;
-  /** On the cautious clock, as {@link sentAt}. */
+  /** On the cautious clock, as {@link sentAtByRenewal}. */
   renewalSentAt: number;
   /** On the steady clock. */
-  readonly mayActAt: number;
+  readonly canActAt: number;
 }
 
 /** The lease of the duties at one host. */
 export class DutyKeeper implements AsyncDisposable {
   readonly #parts: DutyKeeperParts;
   readonly #repetition: Repetition;
-  #held: Held | undefined;
-  #seen: SeenLease;
+  #held: HeldLease | undefined;
+  #observed: ObservedLease;
   /** The newest lease that could be read; another writer may spoil the object. */
   #lastRead: DutyLease | undefined;
   /** When a lease of each fence was first written. */
   readonly #takeSentAt = new Map<number, number>();
-  #notBefore: number;
-  #stopping = false;
+  #nextCheckAt: number;
+  #isStopping = false;
   /** Fence that this host gave up. */
   #releasedFence: number | undefined;
   /** Highest fence that a peer told to have given up. */
-  #heardReleased = -1;
-  #acting = false;
-  #cameBack = false;
+  #receivedReleasedFence = -1;
+  #isPerforming = false;
+  #wasRestored = false;
 
   constructor(parts: DutyKeeperParts) {
     this.#parts = parts;
-    this.#seen = { lease: undefined, version: undefined, since: -Infinity };
-    this.#notBefore = parts.clock.now() + this.#spread();
+    this.#observed = { lease: undefined, version: undefined, since: -Infinity };
+    this.#nextCheckAt = parts.clock.now() + this.#jitter();
     parts.store.onEra(() => {
-      this.#cameBack = true;
+      this.#wasRestored = true;
     });
     this.#repetition = repeat(
       parts.clock,
-      () => TICK_MILLISECONDS,
-      () => this.#tick(),
+      () => LEASE_CHECK_INTERVAL_MILLISECONDS,
+      () => this.#checkLease(),
     );
   }
 
   get #history(): StoreHistory {
-    return { era: this.#parts.store.era, cameBack: this.#cameBack };
+    return { era: this.#parts.store.era, wasRestored: this.#wasRestored };
   }
 
   /** The lease to tell the peers about, while this host holds it. */
-  get news(): LeaseNews | undefined {
+  get leaseUpdate(): LeaseNews | undefined {
     const held = this.#held;
     if (held !== undefined) {
       return { fence: held.lease.fence, version: held.version };
     }
     return this.#releasedFence === undefined
       ? undefined
-      : { fence: this.#releasedFence, version: RELEASED_VERSION };
+      : { fence: this.#releasedFence, version: RELEASED_LEASE_VERSION };
   }
 
   /** Takes in a holder's news. */
-  heard(news: LeaseNews): void {
+  receiveLease(update: LeaseNews): void {
     const now = this.#parts.clock.now();
-    if (news.version === RELEASED_VERSION) {
-      if (news.fence <= this.#heardReleased) return;
-      this.#heardReleased = news.fence;
-      this.#seen = { ...this.#seen, since: -Infinity };
-      this.#notBefore = now + this.#spread();
+    if (update.version === RELEASED_LEASE_VERSION) {
+      if (update.fence <= this.#receivedReleasedFence) return;
+      this.#receivedReleasedFence = update.fence;
+      this.#observed = { ...this.#observed, since: -Infinity };
+      this.#nextCheckAt = now + this.#jitter();
       return;
     }
-    if (news.version <= (this.#seen.version ?? -1)) return;
-    this.#seen = { lease: undefined, version: news.version, since: now };
+    if (update.version <= (this.#observed.version ?? -1)) return;
+    this.#observed = { lease: undefined, version: update.version, since: now };
   }
 
   /** Gives the lease up, for a planned stop. */
   async release(): Promise<void> {
-    this.#stopping = true;
+    this.#isStopping = true;
     const held = this.#held;
-    if (held !== undefined) await this.#giveUp(held);
+    if (held !== undefined) await this.#releaseLease(held);
   }
 
-  async #giveUp(held: Held): Promise<void> {
+  async #releaseLease(held: HeldLease): Promise<void> {
     this.#held = undefined;
     const { store, leaseKey, logger } = this.#parts;
     const value = encodeLease({ ...held.lease, released: true });
@@ -178,53 +178,57 @@
     await this.#repetition[Symbol.asyncDispose]();
   }
 
-  async #tick(): Promise<void> {
-    if (this.#stopping) return;
+  async #checkLease(): Promise<void> {
+    if (this.#isStopping) return;
     const held = this.#held;
-    const eligible = this.#parts.eligible();
+    const isEligible = this.#parts.isEligible();
     if (held !== undefined) {
-      if (eligible) await this.#hold(held);
-      else await this.#giveUp(held);
-    } else if (eligible) await this.#consider();
+      if (isEligible) await this.#keepLease(held);
+      else await this.#releaseLease(held);
+    } else if (isEligible) await this.#considerTaking();
   }
 
-  async #consider(): Promise<void> {
+  async #considerTaking(): Promise<void> {
     const { clock, times, store, leaseKey } = this.#parts;
     const now = clock.now();
-    if (now < this.#notBefore) return;
-    if (now - this.#seen.since < times.duration) {
-      this.#notBefore = this.#seen.since + times.duration + this.#spread();
+    if (now < this.#nextCheckAt) return;
+    if (now - this.#observed.since < times.duration) {
+      this.#nextCheckAt =
+        this.#observed.since + times.duration + this.#jitter();
       return;
     }
     const read = await store.get(leaseKey);
-    this.#notBefore = clock.now() + RETRY_MILLISECONDS + this.#spread();
-    if (read.isErr || this.#stopping) return;
-    this.#look(read.value);
-    const decision = decideTake(this.#seen, this.#parts, {
+    this.#nextCheckAt = clock.now() + STORE_RETRY_MILLISECONDS + this.#jitter();
+    if (read.isErr || this.#isStopping) return;
+    this.#observe(read.value);
+    const decision = decideTake(this.#observed, this.#parts, {
       now: clock.now(),
       times,
       history: this.#history,
     });
-    if (decision.kind === "take") await this.#take(decision.mayActAt);
+    if (decision.kind === "take") await this.#take(decision.canActAt);
   }
 
   /** Compares the object with what was last seen of it. */
-  #look(object: StoredObject | undefined): void {
+  #observe(object: StoredObject | undefined): void {
     const now = this.#parts.clock.now();
     const lease = decodeLease(object?.value);
     this.#lastRead = lease ?? this.#lastRead;
-    const same = object?.version === this.#seen.version;
-    this.#seen = {
+    const isSameVersion = object?.version === this.#observed.version;
+    this.#observed = {
       lease,
       version: object?.version,
-      since: same && Number.isFinite(this.#seen.since) ? this.#seen.since : now,
+      since:
+        isSameVersion && Number.isFinite(this.#observed.since)
+          ? this.#observed.since
+          : now,
     };
   }
 
-  async #take(mayActAt: number): Promise<void> {
+  async #take(canActAt: number): Promise<void> {
     const { store, leaseKey, clock, cautiousClock, logger, metrics } =
       this.#parts;
-    const lease = takenLease(this.#seen, this.#parts, {
+    const lease = newLease(this.#observed, this.#parts, {
       lastRead: this.#lastRead,
       history: this.#history,
     });
@@ -232,79 +236,79 @@
     const sentAt = this.#takeSentAt.get(lease.fence) ?? cautiousClock.now();
     this.#takeSentAt.set(lease.fence, sentAt);
     const put = await store.put(leaseKey, encodeLease(lease), {
-      expected: this.#seen.version ?? "absent",
+      expected: this.#observed.version ?? "absent",
     });
-    if (this.#stopping) return;
+    if (this.#isStopping) return;
     const version = put.isOk
       ? put.value.version
-      : await this.#versionIfOwn(lease);
+      : await this.#versionIfOwnLease(lease);
     // A fence is good in its era alone.
     if (version === undefined || eraOf(version) !== lease.era) {
-      this.#notBefore = clock.now() + RETRY_MILLISECONDS;
+      this.#nextCheckAt = clock.now() + STORE_RETRY_MILLISECONDS;
       return;
     }
     this.#lastRead = lease;
-    this.#parts.duties.restore(lease.counts);
+    this.#parts.duties.restoreCounts(lease.counts);
     this.#held = {
       lease,
       version,
-      sentAt: new Map(),
+      sentAtByRenewal: new Map(),
       lastRenewal: lease.renewals,
       renewalSentAt: sentAt,
-      mayActAt,
+      canActAt,
     };
     metrics.event("duties_taken");
     logger.info("duties taken", {
       fence: lease.fence,
-      from: this.#seen.lease?.holder,
-      formerLease: formerLeaseState(this.#seen),
-      finalWindows: describedRanges(lease.final),
-      actsInMilliseconds: Math.round(Math.max(0, mayActAt - clock.now())),
+      from: this.#observed.lease?.holder,
+      formerLease: formerLeaseState(this.#observed),
+      finalWindows: formatRanges(lease.final),
+      actsInMilliseconds: Math.round(Math.max(0, canActAt - clock.now())),
     });
   }
 
   /** Whether a write without a clear answer took effect after all. */
-  async #versionIfOwn(lease: DutyLease): Promise<number | undefined> {
+  async #versionIfOwnLease(lease: DutyLease): Promise<number | undefined> {
     const read = await this.#parts.store.get(this.#parts.leaseKey);
     if (read.isErr || read.value === undefined) return undefined;
     const stored = decodeLease(read.value.value);
-    const own =
+    const isOwn =
       stored?.incarnation === lease.incarnation && stored.fence === lease.fence;
-    return own ? read.value.version : undefined;
+    return isOwn ? read.value.version : undefined;
   }
 
-  async #hold(held: Held): Promise<void> {
+  async #keepLease(held: HeldLease): Promise<void> {
     const { cautiousClock, times, duties } = this.#parts;
     const now = cautiousClock.now();
     const final = duties.finalUsage(held.lease.final);
     if (
-      tellsMore(final, held.lease.final) ||
+      shouldStoreAtOnce(final, held.lease.final) ||
       now - held.renewalSentAt >= times.renewal
     ) {
       await this.#renew(held, final);
     }
-    this.#act();
+    this.#performDuties();
   }
 
-  async #renew(held: Held, final: FinalUsage): Promise<void> {
+  async #renew(held: HeldLease, final: FinalUsage): Promise<void> {
     const { store, leaseKey, cautiousClock, metrics } = this.#parts;
     held.lastRenewal += 1;
     const renewals = held.lastRenewal;
-    const counts = this.#parts.duties.counts(final);
+    const counts = this.#parts.duties.openCounts(final);
     const { era } = store;
     const lease = { ...held.lease, era, final, renewals, counts };
     const sentAt = cautiousClock.now();
-    held.sentAt.set(renewals, sentAt);
+    held.sentAtByRenewal.set(renewals, sentAt);
     const put = await store.put(leaseKey, encodeLease(lease), {
       expected: held.version,
     });
     if (put.isOk) {
-      this.#renewed(held, { lease, version: put.value.version, sentAt });
+      this.#applyRenewal(held, { lease, version: put.value.version, sentAt });
       return;
     }
     metrics.event(`lease_renewal_${put.error.kind}`);
     if (put.error.kind === "unavailable") return;
-    await this.#settle(held);
+    await this.#reconcile(held);
   }
 
   /**
@@ -312,20 +316,20 @@
    * may be an earlier renewal that took effect late; others count from then, so
    * this host counts from when that one was sent.
    */
-  async #settle(held: Held): Promise<void> {
+  async #reconcile(held: HeldLease): Promise<void> {
     const { store, leaseKey } = this.#parts;
     const read = await store.get(leaseKey);
     if (read.isErr || read.value === undefined) return;
     const stored = decodeLease(read.value.value);
-    const own =
+    const isOwn =
       stored?.incarnation === held.lease.incarnation &&
       stored.fence === held.lease.fence;
-    const sentAt = held.sentAt.get(stored?.renewals ?? -1);
-    if (!own) this.#lose(stored);
+    const sentAt = held.sentAtByRenewal.get(stored?.renewals ?? -1);
+    if (!isOwn) this.#loseLease(stored);
     else if (stored.era !== store.era) {
-      this.#goOnInEra(held, stored, read.value.version);
+      this.#continueInEra(held, stored, read.value.version);
     } else if (read.value.version !== held.version) {
-      this.#renewed(held, {
+      this.#applyRenewal(held, {
         lease: stored,
         version: read.value.version,
         sentAt: sentAt ?? held.renewalSentAt,
@@ -338,34 +342,34 @@
    * followed it; what it knows to be final is stored with the next renewal. Whoever
    * follows it before that finds a lease of a former era.
    */
-  #goOnInEra(held: Held, copy: DutyLease, version: number): void {
+  #continueInEra(held: HeldLease, copy: DutyLease, version: number): void {
     const { cautiousClock, times, metrics } = this.#parts;
     const age = cautiousClock.now() - held.renewalSentAt;
     if (age >= times.acting) {
-      this.#lose(copy);
+      this.#loseLease(copy);
       return;
     }
     metrics.event("lease_goes_on_in_era");
     held.version = version;
   }
 
-  #renewed(
-    held: Held,
+  #applyRenewal(
+    held: HeldLease,
     renewal: { lease: DutyLease; version: number; sentAt: number },
   ): void {
     this.#lastRead = renewal.lease;
-    this.#parts.duties.stored(renewal.lease.final, held.lease.final);
+    this.#parts.duties.onStored(renewal.lease.final, held.lease.final);
     held.lease = renewal.lease;
     held.version = renewal.version;
     held.renewalSentAt = renewal.sentAt;
-    [...held.sentAt.keys()]
+    [...held.sentAtByRenewal.keys()]
       .filter((number) => number <= renewal.lease.renewals)
-      .forEach((number) => held.sentAt.delete(number));
+      .forEach((number) => held.sentAtByRenewal.delete(number));
   }
 
-  #lose(stored: DutyLease | undefined): void {
+  #loseLease(stored: DutyLease | undefined): void {
     this.#held = undefined;
-    this.#seen = {
+    this.#observed = {
       lease: stored,
       version: undefined,
       since: this.#parts.clock.now(),
@@ -378,48 +382,48 @@
   }
 
   /** Lets the duties act beside renewals, one round at a time. */
-  #act(): void {
+  #performDuties(): void {
     const held = this.#held;
-    if (held === undefined || this.#acting || !this.#mayActNow()) return;
-    this.#acting = true;
+    if (held === undefined || this.#isPerforming || !this.#canActNow()) return;
+    this.#isPerforming = true;
     void this.#parts.duties
-      .act(held.lease.final.reports, {
+      .perform(held.lease.final.reports, {
         holder: this.#parts.host,
         fence: held.lease.fence,
       })
       .finally(() => {
-        this.#acting = false;
+        this.#isPerforming = false;
       });
   }
 
-  #mayActNow(): boolean {
+  #canActNow(): boolean {
     const { clock, cautiousClock, times } = this.#parts;
     const held = this.#held;
     const now = clock.now();
     const renewalAge = cautiousClock.now() - (held?.renewalSentAt ?? -Infinity);
-    return held !== undefined && mayAct(held, { now, renewalAge, times });
+    return held !== undefined && canAct(held, { now, renewalAge, times });
   }
 
   /** Whether a call of the duties may be sent at this moment. */
-  get mayAct(): boolean {
-    return this.#mayActNow();
+  get canAct(): boolean {
+    return this.#canActNow();
   }
 
-  #spread(): number {
-    return CANDIDATE_SPREAD_MILLISECONDS * this.#parts.random.next();
+  #jitter(): number {
+    return CANDIDATE_JITTER_MILLISECONDS * this.#parts.random.next();
   }
 }
 
 /** Store version that tells the peers that the lease was given up. */
-const RELEASED_VERSION = -1;
+const RELEASED_LEASE_VERSION = -1;
 
 /** The ranges of final windows, for the log. */
-function describedRanges({ windows }: FinalUsage): string {
+function formatRanges({ windows }: FinalUsage): string {
   return windows.map(([first, last]) => `${first}-${last}`).join(",");
 }
 
 /** What a host knew of the lease object that it took over, for the log. */
-function formerLeaseState({ lease, version }: SeenLease): string {
+function formerLeaseState({ lease, version }: ObservedLease): string {
   if (lease !== undefined) return "read";
   return version === undefined ? "none" : "unreadable";
 }
--- a/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
@@ -32,10 +32,10 @@
 /** Duties with nothing to do. */
 const IDLE_DUTIES: Duties = {
   finalUsage: (known) => known,
-  counts: () => ({}),
-  restore: () => undefined,
-  stored: () => undefined,
-  act: () => Promise.resolve(),
+  openCounts: () => ({}),
+  restoreCounts: () => undefined,
+  onStored: () => undefined,
+  perform: () => Promise.resolve(),
 };
 
 interface Act {
@@ -48,24 +48,26 @@
  * Plays some minutes of three hosts with faults drawn from a seed; another writer
  * spoils the lease after each so many steps.
  */
-async function play(
+async function simulate(
   seed: number,
   times: LeaseTimes = TIMES,
-  { spoilSteps = Infinity }: { readonly spoilSteps?: number } = {},
+  {
+    spoilSteps: corruptionSteps = Infinity,
+  }: { readonly spoilSteps?: number } = {},
 ): Promise<readonly Act[]> {
   const clock = new ManualClock(1_000);
   const random = seededRandom(seed);
   const store = new LeaseStore(clock, random);
   const acts: Act[] = [];
-  const cut = new Map<string, number>();
-  const silent = new Map<string, number>();
-  let life = 0;
+  const cutUntil = new Map<string, number>();
+  const silentUntil = new Map<string, number>();
+  let lastIncarnation = 0;
   const start = (host: string) => {
-    life += 1;
+    lastIncarnation += 1;
     return new DutyKeeper({
       host,
-      incarnation: String(life),
-      store: store.seenBy(() => (cut.get(host) ?? 0) <= clock.now()),
+      incarnation: String(lastIncarnation),
+      store: store.viewFor(() => (cutUntil.get(host) ?? 0) <= clock.now()),
       leaseKey: "leases/duties",
       times,
       clock,
@@ -73,10 +75,10 @@
       random,
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
-      eligible: () => true,
+      isEligible: () => true,
       duties: {
         ...IDLE_DUTIES,
-        act: (_reports, { holder, fence }) => {
+        perform: (_reports, { holder, fence }) => {
           acts.push({ at: clock.now(), holder, fence });
           return Promise.resolve();
         },
@@ -84,36 +86,39 @@
     });
   };
   const keepers = new Map(HOSTS.map((host) => [host, start(host)]));
-  const stops = new Map<string, number>();
+  const startAfterStop = new Map<string, number>();
   const restart = (host: string) => {
-    if (stops.has(host)) return;
+    if (startAfterStop.has(host)) return;
     void keepers.get(host)?.release();
-    stops.set(host, clock.now() + STOP_MILLISECONDS);
+    startAfterStop.set(host, clock.now() + STOP_MILLISECONDS);
   };
   const startStopped = () => {
-    [...stops]
+    [...startAfterStop]
       .filter(([, at]) => at <= clock.now())
       .forEach(([host]) => {
-        stops.delete(host);
+        startAfterStop.delete(host);
         keepers.set(host, start(host));
       });
   };
   for (let step = 0; step < STEPS; step += 1) {
     clock.advance(STEP_MILLISECONDS);
-    store.tick();
-    if (step % spoilSteps === spoilSteps - 1) store.spoil();
+    store.applyLateWrites();
+    if (step % corruptionSteps === corruptionSteps - 1) store.corrupt();
     startStopped();
-    for (let turn = 0; turn < 12; turn += 1) await Promise.resolve();
-    tellNews(keepers, (host) => (silent.get(host) ?? 0) <= clock.now());
+    for (let round = 0; round < 12; round += 1) await Promise.resolve();
+    exchangeLeaseUpdates(
+      keepers,
+      (host) => (silentUntil.get(host) ?? 0) <= clock.now(),
+    );
     const host = HOSTS[random.below(HOSTS.length)] ?? "a";
     const faults: readonly (() => void)[] = [
-      () => cut.set(host, clock.now() + random.below(7_000)),
-      () => silent.set(host, clock.now() + random.below(7_000)),
+      () => cutUntil.set(host, clock.now() + random.below(7_000)),
+      () => silentUntil.set(host, clock.now() + random.below(7_000)),
       () => {
         store.losesAnswers = !store.losesAnswers;
       },
       () => {
-        store.reachable = !store.reachable;
+        store.isReachable = !store.isReachable;
       },
       () => restart(host),
       // Planned stops come in series; these hit the holder.
@@ -122,13 +127,13 @@
       () => restart(holderOf(keepers) ?? host),
     ];
     if (random.next() < 0.03) faults[random.below(faults.length)]?.();
-    if (!store.reachable && random.next() < 0.02) store.reachable = true;
+    if (!store.isReachable && random.next() < 0.02) store.isReachable = true;
   }
   return acts;
 }
 
 /** A holder whose time of day goes on beside its steady clock. */
-async function holderThatCanBeSuspended(): Promise<{
+async function suspendableHolder(): Promise<{
   readonly clock: ManualClock;
   readonly store: LeaseStore;
   readonly keeper: DutyKeeper;
@@ -142,7 +147,7 @@
   const keeper = new DutyKeeper({
     host: "a",
     incarnation: "1",
-    store: store.seenBy(() => true),
+    store: store.viewFor(() => true),
     leaseKey: "leases/duties",
     times: TIMES,
     clock,
@@ -150,30 +155,29 @@
     random,
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
-    eligible: () => true,
+    isEligible: () => true,
     duties: IDLE_DUTIES,
   });
-  while (!keeper.mayAct) await stepOf(clock);
+  while (!keeper.canAct) await advanceStep(clock);
   return { clock, store, keeper, suspension };
 }
 
-async function stepOf(clock: ManualClock): Promise<void> {
+async function advanceStep(clock: ManualClock): Promise<void> {
   clock.advance(STEP_MILLISECONDS);
-  for (let turn = 0; turn < 12; turn += 1) await Promise.resolve();
+  for (let round = 0; round < 12; round += 1) await Promise.resolve();
 }
 
 describe("a holder that was suspended", () => {
   test("does not act before it has renewed its lease", async () => {
-    const { clock, store, keeper, suspension } =
-      await holderThatCanBeSuspended();
-    store.reachable = false;
+    const { clock, store, keeper, suspension } = await suspendableHolder();
+    store.isReachable = false;
     suspension.milliseconds = 8_000;
-    expect(keeper.mayAct).toBe(false);
-    for (let turn = 0; turn < 20; turn += 1) await stepOf(clock);
-    expect(keeper.mayAct).toBe(false);
-    store.reachable = true;
-    for (let turn = 0; turn < 20; turn += 1) await stepOf(clock);
-    expect(keeper.mayAct).toBe(true);
+    expect(keeper.canAct).toBe(false);
+    for (let turn = 0; turn < 20; turn += 1) await advanceStep(clock);
+    expect(keeper.canAct).toBe(false);
+    store.isReachable = true;
+    for (let turn = 0; turn < 20; turn += 1) await advanceStep(clock);
+    expect(keeper.canAct).toBe(true);
   });
 });
 
@@ -182,19 +186,19 @@
   keepers: ReadonlyMap<string, DutyKeeper>,
 ): string | undefined {
   return [...keepers].find(
-    ([, keeper]) => (keeper.news?.version ?? -1) >= 0,
+    ([, keeper]) => (keeper.leaseUpdate?.version ?? -1) >= 0,
   )?.[0];
 }
 
-function tellNews(
+function exchangeLeaseUpdates(
   keepers: ReadonlyMap<string, DutyKeeper>,
-  heard: (host: string) => boolean,
+  isHeard: (host: string) => boolean,
 ): void {
   keepers.forEach((from, sender) => {
-    const news = from.news;
-    if (news === undefined || !heard(sender)) return;
+    const update = from.leaseUpdate;
+    if (update === undefined || !isHeard(sender)) return;
     keepers.forEach((to, receiver) => {
-      if (receiver !== sender && heard(receiver)) to.heard(news);
+      if (receiver !== sender && isHeard(receiver)) to.receiveLease(update);
     });
   });
 }
@@ -208,12 +212,12 @@
 
 /** Acts that end an A, B, A within the time in which none may. */
 function alternations(acts: readonly Act[]): readonly Act[] {
-  const turns = acts.filter(
+  const holderChanges = acts.filter(
     (act, index) => acts[index - 1]?.holder !== act.holder,
   );
-  return turns.filter((act, index) => {
-    const between = turns[index - 1];
-    const before = turns[index - 2];
+  return holderChanges.filter((act, index) => {
+    const between = holderChanges[index - 1];
+    const before = holderChanges[index - 2];
     if (between === undefined || before?.holder !== act.holder) return false;
     const lastBefore = acts.findLast(
       (other) => other.holder === act.holder && other.at < between.at,
@@ -225,22 +229,22 @@
 const SEEDS = Array.from({ length: 40 }, (_, index) => index + 1);
 
 /** The days of all seeds under the rules in force. */
-const PLAYED = Promise.all(SEEDS.map((seed) => play(seed)));
+const SIMULATED = Promise.all(SEEDS.map((seed) => simulate(seed)));
 
 describe("lease of the duties", () => {
   test("no holder acts after one with a higher fence", async () => {
-    const played = await PLAYED;
+    const played = await SIMULATED;
     expect(played.flatMap(staleActs)).toEqual([]);
     expect(played.every((acts) => acts.length > 20)).toBe(true);
   });
 
   test("holders do not alternate within the lease's time", async () => {
-    const played = await PLAYED;
+    const played = await SIMULATED;
     expect(played.flatMap(alternations)).toEqual([]);
   });
 
   test("one fence never has two holders", async () => {
-    const acts = (await PLAYED).flatMap((all, index) =>
+    const acts = (await SIMULATED).flatMap((all, index) =>
       all.map((act) => ({ ...act, day: index })),
     );
     const holders = new Map<string, string>();
@@ -258,7 +262,7 @@
   test("no holder acts below a fence after another writer spoilt the lease", async () => {
     const options = { spoilSteps: 150 };
     const played = await Promise.all(
-      SEEDS.map((seed) => play(seed, TIMES, options)),
+      SEEDS.map((seed) => simulate(seed, TIMES, options)),
     );
     expect(played.map(staleActs).filter((acts) => acts.length > 0)).toEqual([]);
     expect(played.flatMap(alternations)).toEqual([]);
@@ -270,13 +274,17 @@
     ["acts longer than others wait", { ...TIMES, acting: 9_000 }],
     ["others take a lease too early", { ...TIMES, duration: 500 }],
   ])("a wrong rule is found: a holder %s", async (_name, times) => {
-    const played = await Promise.all(SEEDS.map((seed) => play(seed, times)));
+    const played = await Promise.all(
+      SEEDS.map((seed) => simulate(seed, times)),
+    );
     expect(played.flatMap(staleActs).length).toBeGreaterThan(0);
   });
 
   test("a wrong rule is found: acting at once on a lease given up", async () => {
     const times = { ...TIMES, afterRelease: 0 };
-    const played = await Promise.all(SEEDS.map((seed) => play(seed, times)));
+    const played = await Promise.all(
+      SEEDS.map((seed) => simulate(seed, times)),
+    );
     expect(played.flatMap(alternations).length).toBeGreaterThan(0);
   });
 });
--- a/packages/rampswitch-serving/src/duties/duty_lease.ts
+++ b/packages/rampswitch-serving/src/duties/duty_lease.ts
@@ -10,8 +10,8 @@
  */
 
 import { positionOf } from "rampswitch-store";
-import { type FinalUsage, unitedUsage } from "./final_usage.ts";
-import type { LifeCounts } from "./usage_counter.ts";
+import { type FinalUsage, mergeFinalUsage } from "./final_usage.ts";
+import type { IncarnationCounts } from "./usage_counter.ts";
 
 /** Value of the lease object. */
 export interface DutyLease {
@@ -29,7 +29,7 @@
   /** Whether the holder gave the lease up. */
   readonly released: boolean;
   /** Counts of windows that are not final, by life of a process. */
-  readonly counts: LifeCounts;
+  readonly counts: IncarnationCounts;
   /** Usage that is final; its windows stay so in every later lease. */
   readonly final: FinalUsage;
 }
@@ -46,7 +46,7 @@
 }
 
 /** The lease object as last seen. */
-export interface SeenLease {
+export interface ObservedLease {
   readonly lease: DutyLease | undefined;
   /** Store version; `undefined` while there is no object. */
   readonly version: number | undefined;
@@ -58,7 +58,7 @@
 export interface StoreHistory {
   readonly era: number;
   /** Whether it came back from a copy since this host started. */
-  readonly cameBack: boolean;
+  readonly wasRestored: boolean;
 }
 
 /** The newest era of a store that has never come back from a copy. */
@@ -68,21 +68,23 @@
  * Whether leases may have followed the one that is seen, or none, which are lost: the
  * store has come back from a copy since.
  */
-export function mayBeFollowed(
-  { lease }: SeenLease,
-  { era, cameBack }: StoreHistory,
+export function isPossiblySuperseded(
+  { lease }: ObservedLease,
+  { era, wasRestored }: StoreHistory,
 ): boolean {
-  return lease === undefined ? cameBack || era > FIRST_ERA : lease.era !== era;
+  return lease === undefined
+    ? wasRestored || era > FIRST_ERA
+    : lease.era !== era;
 }
 
 /** What a host that is not the holder does about the lease. */
 export type TakeDecision =
-  | { readonly kind: "take"; readonly mayActAt: number }
+  | { readonly kind: "take"; readonly canActAt: number }
   | { readonly kind: "wait" };
 
 /** Decides whether to take a lease that another process held. */
 export function decideTake(
-  seen: SeenLease,
+  observed: ObservedLease,
   self: { readonly host: string; readonly incarnation: string },
   options: {
     readonly now: number;
@@ -91,36 +93,37 @@
   },
 ): TakeDecision {
   const { now, times, history } = options;
-  const decision = decideTakeInEra(seen, self, { now, times });
-  if (decision.kind === "wait" || !mayBeFollowed(seen, history))
+  const decision = decideTakeInEra(observed, self, { now, times });
+  if (decision.kind === "wait" || !isPossiblySuperseded(observed, history))
     return decision;
   // Whoever holds a lease that is lost goes on for as long as it lasts.
-  const mayActAt = Math.max(decision.mayActAt, now + times.duration);
-  return { kind: "take", mayActAt };
+  const canActAt = Math.max(decision.canActAt, now + times.duration);
+  return { kind: "take", canActAt };
 }
 
 function decideTakeInEra(
-  seen: SeenLease,
+  observed: ObservedLease,
   self: { readonly host: string; readonly incarnation: string },
   options: { readonly now: number; readonly times: LeaseTimes },
 ): TakeDecision {
   const { now, times } = options;
-  const { lease } = seen;
+  const { lease } = observed;
   if (lease === undefined) {
     // Whoever held a lease that was spoilt since may still act.
-    return seen.version === undefined || now - seen.since >= times.duration
-      ? { kind: "take", mayActAt: now }
+    return observed.version === undefined ||
+      now - observed.since >= times.duration
+      ? { kind: "take", canActAt: now }
       : { kind: "wait" };
   }
   if (lease.holder === self.host) {
     // A former process of this host is gone; its fence is never used again.
-    return { kind: "take", mayActAt: now };
+    return { kind: "take", canActAt: now };
   }
   if (lease.released) {
-    return { kind: "take", mayActAt: now + times.afterRelease };
+    return { kind: "take", canActAt: now + times.afterRelease };
   }
-  return now - seen.since >= times.duration
-    ? { kind: "take", mayActAt: now }
+  return now - observed.since >= times.duration
+    ? { kind: "take", canActAt: now }
     : { kind: "wait" };
 }
 
@@ -130,23 +133,23 @@
  * before lies above the position of an object that can't be read, nor above the
  * first one of an era.
  */
-export function takenLease(
-  seen: SeenLease,
+export function newLease(
+  observed: ObservedLease,
   self: { readonly host: string; readonly incarnation: string },
   known: {
     readonly lastRead: DutyLease | undefined;
     readonly history: StoreHistory;
   },
 ): DutyLease {
-  const { lease, version } = seen;
+  const { lease, version } = observed;
   const { lastRead, history } = known;
   const { era } = history;
-  const before = lease ?? lastRead;
-  const unreadable = lease === undefined ? (version ?? 0) : 0;
-  const isFirst = before === undefined && version === undefined;
-  const isUnknown = lease === undefined && !isFirst;
-  const final = unitedUsage(lease?.final, lastRead?.final);
-  const fences = [lease?.fence, lastRead?.fence, unreadable];
+  const former = lease ?? lastRead;
+  const unreadableVersion = lease === undefined ? (version ?? 0) : 0;
+  const isFirstLease = former === undefined && version === undefined;
+  const isUnreadable = lease === undefined && !isFirstLease;
+  const final = mergeFinalUsage(lease?.final, lastRead?.final);
+  const fences = [lease?.fence, lastRead?.fence, unreadableVersion];
   return {
     holder: self.host,
     incarnation: self.incarnation,
@@ -154,18 +157,18 @@
     era,
     renewals: 0,
     released: false,
-    counts: before?.counts ?? {},
+    counts: former?.counts ?? {},
     // What was final in a lease that is lost may have been reported.
     final:
-      isUnknown || mayBeFollowed(seen, history)
+      isUnreadable || isPossiblySuperseded(observed, history)
         ? { ...final, incomplete: true }
         : final,
   };
 }
 
 /** Whether a holder may act at a time. */
-export function mayAct(
-  held: { readonly mayActAt: number },
+export function canAct(
+  held: { readonly canActAt: number },
   options: {
     readonly now: number;
     /** Time since the last renewal that took effect was sent, at least. */
@@ -174,5 +177,5 @@
   },
 ): boolean {
   const { now, renewalAge, times } = options;
-  return now >= held.mayActAt && renewalAge < times.acting;
+  return now >= held.canActAt && renewalAge < times.acting;
 }
--- a/packages/rampswitch-serving/src/duties/final_usage.ts
+++ b/packages/rampswitch-serving/src/duties/final_usage.ts
@@ -36,16 +36,16 @@
  * Ranges that are kept apart. Only windows that no host reported leave gaps, one for
  * each outage; and each needs some 25 bytes in the lease object.
  */
-const MOST_RANGES = 32;
+const MAXIMUM_RANGES = 32;
 
 /** What is final by either of two leases. */
-export function unitedUsage(
+export function mergeFinalUsage(
   one: FinalUsage = NO_FINAL_USAGE,
   other: FinalUsage = NO_FINAL_USAGE,
 ): FinalUsage {
   return {
     reports: { ...one.reports, ...other.reports },
-    windows: withWindows(one.windows, other.windows),
+    windows: mergeWindows(one.windows, other.windows),
     incomplete: one.incomplete || other.incomplete,
   };
 }
@@ -56,7 +56,10 @@
 }
 
 /** Whether the lease object should hold a state at once in place of another. */
-export function tellsMore(final: FinalUsage, before: FinalUsage): boolean {
+export function shouldStoreAtOnce(
+  final: FinalUsage,
+  before: FinalUsage,
+): boolean {
   return (
     final.incomplete !== before.incomplete ||
     Object.keys(final.reports).some(
@@ -69,14 +72,14 @@
  * Ranges with more windows. Where there are too many, the lowest ones are joined:
  * the windows between them are the oldest, and are never reported.
  */
-export function withWindows(
+export function mergeWindows(
   ranges: readonly WindowRange[],
   added: readonly WindowRange[],
 ): readonly WindowRange[] {
   const joined = [...ranges, ...added]
     .toSorted(([left], [right]) => left - right)
-    .reduce<readonly WindowRange[]>(joinedWithLast, []);
-  const surplus = joined.length - MOST_RANGES;
+    .reduce<readonly WindowRange[]>(joinWithLast, []);
+  const surplus = joined.length - MAXIMUM_RANGES;
   if (surplus <= 0) return joined;
   const lowest = joined.slice(0, surplus + 1);
   return [
@@ -89,7 +92,7 @@
  * Final usage of a lease that a former program wrote. It let older windows go, so
  * that all up to the newest one that it names may have been reported.
  */
-export function finalUsageOfReports(reports: FinalReports): FinalUsage {
+export function finalUsageFromReports(reports: FinalReports): FinalUsage {
   const newest = Math.max(...Object.keys(reports).map(Number));
   return {
     reports,
@@ -98,7 +101,7 @@
   };
 }
 
-function joinedWithLast(
+function joinWithLast(
   ranges: readonly WindowRange[],
   next: WindowRange,
 ): readonly WindowRange[] {
--- a/packages/rampswitch-serving/src/duties/final_usage_test.ts
+++ b/packages/rampswitch-serving/src/duties/final_usage_test.ts
@@ -3,11 +3,11 @@
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
 import {
-  finalUsageOfReports,
+  finalUsageFromReports,
   isFinal,
   NO_FINAL_USAGE,
   type WindowRange,
-  withWindows,
+  mergeWindows,
 } from "./final_usage.ts";
 
 /** Ranges of windows that were added one after another. */
@@ -18,13 +18,13 @@
   { maxLength: 120 },
 );
 
-function isWithin(windows: readonly WindowRange[], window: number): boolean {
+function isFinalIn(windows: readonly WindowRange[], window: number): boolean {
   return isFinal({ ...NO_FINAL_USAGE, windows }, window);
 }
 
-function added(ranges: readonly WindowRange[]): readonly WindowRange[] {
+function addAll(ranges: readonly WindowRange[]): readonly WindowRange[] {
   return ranges.reduce<readonly WindowRange[]>(
-    (known, range) => withWindows(known, [range]),
+    (known, range) => mergeWindows(known, [range]),
     [],
   );
 }
@@ -33,10 +33,10 @@
   test("stay so, whatever others are added and in whichever order", () => {
     fc.assert(
       fc.property(additions, (ranges) => {
-        const windows = added(ranges);
+        const windows = addAll(ranges);
         ranges.forEach(([first, last]) => {
-          expect(isWithin(windows, first)).toBe(true);
-          expect(isWithin(windows, last)).toBe(true);
+          expect(isFinalIn(windows, first)).toBe(true);
+          expect(isFinalIn(windows, last)).toBe(true);
         });
       }),
     );
@@ -45,10 +45,10 @@
   test("take little room, and leave those above the gaps alone", () => {
     fc.assert(
       fc.property(additions, (ranges) => {
-        const windows = added(ranges);
+        const windows = addAll(ranges);
         expect(windows.length).toBeLessThanOrEqual(32);
         const highest = Math.max(-1, ...ranges.map(([, last]) => last));
-        expect(isWithin(windows, highest + 1)).toBe(false);
+        expect(isFinalIn(windows, highest + 1)).toBe(false);
         windows.slice(1).forEach(([first], index) => {
           expect(first).toBeGreaterThan((windows[index]?.[1] ?? 0) + 1);
         });
@@ -57,11 +57,11 @@
   });
 
   test("far ahead close none of those between", () => {
-    const windows = added([
+    const windows = addAll([
       [100, 105],
       [820, 820],
     ]);
-    expect([106, 400, 819].map((one) => isWithin(windows, one))).toEqual([
+    expect([106, 400, 819].map((one) => isFinalIn(windows, one))).toEqual([
       false,
       false,
       false,
@@ -69,7 +69,7 @@
   });
 
   test("are all up to the newest report of a former version's lease", () => {
-    const final = finalUsageOfReports({ 98: {}, 100: { w: 3 } });
+    const final = finalUsageFromReports({ 98: {}, 100: { w: 3 } });
     expect([7, 98, 99, 100, 101].map((one) => isFinal(final, one))).toEqual([
       true,
       true,
@@ -77,6 +77,6 @@
       true,
       false,
     ]);
-    expect(finalUsageOfReports({})).toEqual(NO_FINAL_USAGE);
+    expect(finalUsageFromReports({})).toEqual(NO_FINAL_USAGE);
   });
 });
--- a/packages/rampswitch-serving/src/duties/host_duties.ts
+++ b/packages/rampswitch-serving/src/duties/host_duties.ts
@@ -40,7 +40,7 @@
 };
 
 /** Answer to a call of the duties after the lease has run out. */
-const LEASE_OVER: Result<void, CloudError> = Result.err("refused");
+const LEASE_EXPIRED: Result<void, CloudError> = Result.err("refused");
 
 /** What the duties of a host work with. */
 export interface HostDutiesParts {
@@ -118,31 +118,31 @@
       load: (service) => parts.load(service),
       holdMilliseconds: (service) => parts.holdMilliseconds(service),
       limitOf: (record) => parts.limitOf(record),
-      idle: () => parts.idle(),
+      isIdle: () => parts.idle(),
     });
   }
 
   /** Begins to look at the lease. */
   start(): void {
-    const life = `${this.#parts.host}/${this.#parts.incarnation}`;
+    const incarnationKey = `${this.#parts.host}/${this.#parts.incarnation}`;
     const { agreedWallTime, leaseMilliseconds } = this.#parts;
     this.#keeper = this.#ownership.own(
       new DutyKeeper({
         ...this.#parts,
-        eligible: () => this.#parts.eligible(),
+        isEligible: () => this.#parts.eligible(),
         times: { ...LEASE_TIMES, afterRelease: leaseMilliseconds },
         duties: {
           finalUsage: (known) =>
             this.#usageDuty.finalUsage(known, this.#timeOfDay()),
-          counts: (final) =>
-            this.usage.lives(life, {
+          openCounts: (final) =>
+            this.usage.openCounts(incarnationKey, {
               wallTime: agreedWallTime(),
               isFinal: (window) => isFinal(final, window),
             }),
-          restore: (counts) => this.usage.restore(counts, life),
-          stored: (final, before) =>
-            this.#usageDuty.tellStored(final, before, this.#timeOfDay()),
-          act: (reports, fence) => this.#act(reports, fence),
+          restoreCounts: (counts) => this.usage.restore(counts, incarnationKey),
+          onStored: (final, before) =>
+            this.#usageDuty.logStored(final, before, this.#timeOfDay()),
+          perform: (reports, fence) => this.#performDuties(reports, fence),
         },
       }),
     );
@@ -150,17 +150,17 @@
 
   /** The lease to tell the peers about, while this host holds it. */
   get lease(): LeaseNews | undefined {
-    return this.#keeper?.news;
+    return this.#keeper?.leaseUpdate;
   }
 
   /** Whether this host may act for the fleet now. */
   get isHolder(): boolean {
-    return this.#keeper?.mayAct === true;
+    return this.#keeper?.canAct === true;
   }
 
   /** Takes in a holder's news. */
   heard(lease: LeaseNews): void {
-    this.#keeper?.heard(lease);
+    this.#keeper?.receiveLease(lease);
   }
 
   /** Gives the lease up, for a planned stop. */
@@ -171,7 +171,10 @@
   /** A reclaimable server was announced to leave; `left` are still ready. */
   reclaimableLeaves(service: string, dataHall: string, left: number): void {
     const now = this.#parts.clock.now();
-    this.#capacity.reclaimableLeaves(service, dataHall, { left, now });
+    this.#capacity.recordAnnouncedReclaim(service, dataHall, {
+      remaining: left,
+      now,
+    });
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -180,24 +183,24 @@
 
   #timeOfDay(): TimeOfDay {
     const { wallTime, agreedWallTime, isTimeSettled, clock } = this.#parts;
-    const agreed = agreedWallTime();
+    const fleetTime = agreedWallTime();
     return {
       own: wallTime(),
-      agreed,
-      startedAt: agreed - (clock.now() - this.#startedAt),
+      fleet: fleetTime,
+      startedAt: fleetTime - (clock.now() - this.#startedAt),
       isSettled: isTimeSettled(),
     };
   }
 
-  async #act(reports: FinalReports, fence: Fence): Promise<void> {
-    await this.#rollOut();
-    await this.#usageDuty.act(reports, fence);
+  async #performDuties(reports: FinalReports, fence: Fence): Promise<void> {
+    await this.#storeRolloutStates();
+    await this.#usageDuty.sendReports(reports, fence);
     const routes = this.#parts.routes();
     if (routes === undefined) return;
-    await this.#capacity.act(routes, fence, this.#parts.clock.now());
+    await this.#capacity.sendDueOrders(routes, fence, this.#parts.clock.now());
   }
 
-  async #rollOut(): Promise<void> {
+  async #storeRolloutStates(): Promise<void> {
     const { clock, rollouts, rolloutStore } = this.#parts;
     rolloutStore.follow();
     const due = rollouts.dueStates(clock.now(), this.#parts.lives());
@@ -209,13 +212,13 @@
     const { cloud } = this.#parts;
     return {
       reportUsage: async (report, fence) =>
-        this.#keeper?.mayAct === true
+        this.#keeper?.canAct === true
           ? cloud.reportUsage(report, fence)
-          : LEASE_OVER,
+          : LEASE_EXPIRED,
       orderServers: async (order, fence) =>
-        this.#keeper?.mayAct === true
+        this.#keeper?.canAct === true
           ? cloud.orderServers(order, fence)
-          : LEASE_OVER,
+          : LEASE_EXPIRED,
     };
   }
 }
--- a/packages/rampswitch-serving/src/duties/lease_codec.ts
+++ b/packages/rampswitch-serving/src/duties/lease_codec.ts
@@ -9,7 +9,7 @@
 import { parseJson } from "rampswitch-utils";
 import * as z from "zod";
 import type { DutyLease } from "./duty_lease.ts";
-import { finalUsageOfReports } from "./final_usage.ts";
+import { finalUsageFromReports } from "./final_usage.ts";
 
 const counts = z.record(z.string(), z.number());
 const window = z.number().int();
@@ -28,7 +28,7 @@
 });
 
 /** Era of a lease that names none, as a former program wrote it. */
-const NO_ERA = 0;
+const UNKNOWN_ERA = 0;
 
 /** The value of the lease object. */
 export function encodeLease({ final, ...lease }: DutyLease): string {
@@ -51,7 +51,7 @@
   const { reports, finalWindows, incomplete, era, ...lease } = checked.data;
   const final =
     finalWindows === undefined
-      ? finalUsageOfReports(reports)
+      ? finalUsageFromReports(reports)
       : { reports, windows: finalWindows, incomplete: incomplete ?? false };
-  return { ...lease, era: era ?? NO_ERA, final };
+  return { ...lease, era: era ?? UNKNOWN_ERA, final };
 }
--- a/packages/rampswitch-serving/src/duties/lease_store_standin.ts
+++ b/packages/rampswitch-serving/src/duties/lease_store_standin.ts
@@ -19,19 +19,19 @@
 } from "rampswitch-store";
 
 /** Longest time after which a write without an answer takes effect, in milliseconds. */
-const LATE_MILLISECONDS = 4_000;
+const MAXIMUM_LATE_WRITE_MILLISECONDS = 4_000;
 
 /** Changes that copies may be made of. */
-const KEPT_CHANGES = 200;
+const RETAINED_CHANGES = 200;
 
 /** A store of one object whose answers may be lost or writes come late. */
 export class LeaseStore {
-  reachable = true;
+  isReachable = true;
   losesAnswers = false;
   /** Changes each value on its way into the store, as a wrong program would. */
-  altered: (value: string) => string = (value) => value;
+  alterWritten: (value: string) => string = (value) => value;
   /** What is left of a value that another writer wrote over. */
-  spoilt: (value: string) => string = () => "spoilt";
+  corruptValue: (value: string) => string = () => "spoilt";
   /** With a revision of its era as the version. */
   #object: StoredObject | undefined;
   #era = 1;
@@ -42,7 +42,7 @@
     readonly object: StoredObject | undefined;
     readonly revision: number;
   }[] = [];
-  #late: { readonly at: number; readonly run: () => void }[] = [];
+  #lateWrites: { readonly at: number; readonly run: () => void }[] = [];
   readonly #clock: ManualClock;
   readonly #random: Random;
 
@@ -52,56 +52,62 @@
   }
 
   /** Carries out writes whose time has come. */
-  tick(): void {
-    const due = this.#late.filter(({ at }) => at <= this.#clock.now());
-    this.#late = this.#late.filter(({ at }) => at > this.#clock.now());
+  applyLateWrites(): void {
+    const due = this.#lateWrites.filter(({ at }) => at <= this.#clock.now());
+    this.#lateWrites = this.#lateWrites.filter(
+      ({ at }) => at > this.#clock.now(),
+    );
     due.forEach(({ run }) => run());
   }
 
   /** Writes over the object, as another writer might. */
-  spoil(): void {
+  corrupt(): void {
     const known = this.#object;
     if (known === undefined) return;
-    const value = this.spoilt(known.value);
+    const value = this.corruptValue(known.value);
     this.#revision += 1;
     this.#object = { ...known, value, version: this.#revision };
-    this.#note();
+    this.#recordChange();
   }
 
   /** Comes back from a copy that is so old, in milliseconds. */
-  comeBackFrom(age: number): void {
+  restoreFromCopy(age: number): void {
     const then = this.#clock.now() - age;
     const copy = this.#history.findLast(({ at }) => at <= then);
     this.#era += 1;
     this.#object = copy?.object;
     this.#revision = copy?.revision ?? 0;
     this.#history = [];
-    this.#note();
+    this.#recordChange();
   }
 
   /** The store as one host reaches it. */
-  seenBy(reaches: () => boolean): ObjectStore {
+  viewFor(isConnected: () => boolean): ObjectStore {
     const view = new EraView(() => this.#era);
-    const gone: Result<never, StoreError> = Result.err({
+    const noAnswer: Result<never, StoreError> = Result.err({
       kind: "unknown",
       detail: "no answer",
     });
-    const unused = () => Promise.resolve(gone);
+    const unused = () => Promise.resolve(noAnswer);
     return {
       get era() {
         return view.era;
       },
       onEra: (listener) => view.onEra(listener),
       get: () => {
-        if (!reaches() || !this.reachable) return Promise.resolve(gone);
-        view.look();
+        if (!isConnected() || !this.isReachable)
+          return Promise.resolve(noAnswer);
+        view.observe();
         const object = this.#object;
         return Promise.resolve(
-          Result.ok(object === undefined ? undefined : view.placed(object)),
+          Result.ok(
+            object === undefined ? undefined : view.withPosition(object),
+          ),
         );
       },
       put: (key, value, { expected: position }) => {
-        if (!reaches() || !this.reachable) return Promise.resolve(gone);
+        if (!isConnected() || !this.isReachable)
+          return Promise.resolve(noAnswer);
         if (position !== "absent" && eraOf(position) !== view.era) {
           return Promise.resolve(Result.err({ kind: "conflict" as const }));
         }
@@ -109,16 +115,18 @@
           position === "absent" ? position : revisionOf(position);
         if (!this.losesAnswers || this.#random.next() < 0.5) {
           const put = this.#put(key, { value, expected });
-          const isNew = view.look();
-          if (isNew && position !== "absent") return Promise.resolve(gone);
-          return Promise.resolve(put.map((object) => view.placed(object)));
+          const isNew = view.observe();
+          if (isNew && position !== "absent") return Promise.resolve(noAnswer);
+          return Promise.resolve(
+            put.map((object) => view.withPosition(object)),
+          );
         }
-        const late = this.#random.below(LATE_MILLISECONDS);
-        this.#late.push({
+        const late = this.#random.below(MAXIMUM_LATE_WRITE_MILLISECONDS);
+        this.#lateWrites.push({
           at: this.#clock.now() + late,
           run: () => void this.#put(key, { value, expected }),
         });
-        return Promise.resolve(gone);
+        return Promise.resolve(noAnswer);
       },
       list: unused,
       remove: unused,
@@ -134,17 +142,17 @@
     if (change.expected !== (version ?? "absent")) {
       return Result.err({ kind: "conflict" });
     }
-    const value = this.altered(change.value);
+    const value = this.alterWritten(change.value);
     const same = this.#object?.value === value;
     if (!same) this.#revision += 1;
     this.#object = { key, value, version: this.#revision };
-    this.#note();
+    this.#recordChange();
     return Result.ok(this.#object);
   }
 
-  #note(): void {
+  #recordChange(): void {
     this.#history = [
-      ...this.#history.slice(-KEPT_CHANGES),
+      ...this.#history.slice(-RETAINED_CHANGES),
       { at: this.#clock.now(), object: this.#object, revision: this.#revision },
     ];
   }
@@ -166,7 +174,7 @@
   }
 
   /** Takes an answer in; tells whether it was the first of its era. */
-  look(): boolean {
+  observe(): boolean {
     const from = this.era;
     const to = this.#current();
     if (from === to) return false;
@@ -175,7 +183,7 @@
     return true;
   }
 
-  placed(object: StoredObject): StoredObject {
+  withPosition(object: StoredObject): StoredObject {
     return { ...object, version: positionOf(this.era, object.version) };
   }
 }
--- a/packages/rampswitch-serving/src/duties/usage_counter.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter.ts
@@ -9,16 +9,16 @@
 import type { WindowCounts } from "../membership/peer_news.ts";
 
 /** Windows kept after their end; longer than a takeover takes. */
-const KEPT_WINDOWS = 5;
+const RETAINED_WINDOWS = 5;
 
 /** Windows after which one may still be reported. */
-const REPORTED_LATE_WINDOWS = 2;
+const LATE_REPORT_WINDOWS = 2;
 
 /** Counts of one window by workspace. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
 /** Counts by host and life of its process. */
-export type LifeCounts = Readonly<Record<string, WindowCounts>>;
+export type IncarnationCounts = Readonly<Record<string, WindowCounts>>;
 
 /** Usage as one host knows it. */
 export class UsageCounter {
@@ -27,7 +27,7 @@
   /** By host and life of its process. */
   readonly #peers = new Map<string, WindowCounts>();
 
-  #forgottenBefore = -Infinity;
+  #droppedBefore = -Infinity;
 
   constructor(windowMilliseconds: number) {
     this.#windowMilliseconds = windowMilliseconds;
@@ -47,7 +47,7 @@
   began(workspace: string, wallTime: number): void {
     const window = this.windowOf(wallTime);
     const counts = this.#own[window] ?? {};
-    this.#own = newest(
+    this.#own = newestWindows(
       {
         ...this.#own,
         [window]: { ...counts, [workspace]: (counts[workspace] ?? 0) + 1 },
@@ -58,7 +58,7 @@
 
   /** Own counts of the newest windows, to tell the peers. */
   own(wallTime: number): WindowCounts {
-    return newest(this.#own, this.windowOf(wallTime));
+    return newestWindows(this.#own, this.windowOf(wallTime));
   }
 
   /** Takes in a peer's counts; each message tells all of them anew. */
@@ -73,33 +73,41 @@
    * Counts of windows that are not final, by life of a process, to keep in the store
    * in case that all hosts end at once. Not those of far windows: clocks are near.
    */
-  lives(
+  openCounts(
     self: string,
     open: {
       readonly wallTime: number;
       readonly isFinal: (window: number) => boolean;
     },
-  ): LifeCounts {
+  ): IncarnationCounts {
     const now = this.windowOf(open.wallTime);
-    const isKept = (window: number) =>
-      Math.abs(window - now) < KEPT_WINDOWS && !open.isFinal(window);
-    const lives = [[self, this.#own] as const, ...this.#peers];
+    const isRetained = (window: number) =>
+      Math.abs(window - now) < RETAINED_WINDOWS && !open.isFinal(window);
+    const byIncarnation = [[self, this.#own] as const, ...this.#peers];
     return Object.fromEntries(
-      lives
-        .map(([life, counts]) => [life, windowsOf(counts, isKept)] as const)
+      byIncarnation
+        .map(
+          ([incarnationKey, counts]) =>
+            [incarnationKey, filterWindows(counts, isRetained)] as const,
+        )
         .filter(([, counts]) => Object.keys(counts).length > 0),
     );
   }
 
   /** Takes in counts that the store kept, except those of this process. */
-  restore(lives: LifeCounts, self: string): void {
-    Object.entries(lives)
-      .filter(([life]) => life !== self && !this.#peers.has(life))
-      .forEach(([life, counts]) => this.#peers.set(life, counts));
+  restore(storedCounts: IncarnationCounts, self: string): void {
+    Object.entries(storedCounts)
+      .filter(
+        ([incarnationKey]) =>
+          incarnationKey !== self && !this.#peers.has(incarnationKey),
+      )
+      .forEach(([incarnationKey, counts]) =>
+        this.#peers.set(incarnationKey, counts),
+      );
   }
 
   /** Whether any host is known to have begun requests in a window. */
-  knows(window: number): boolean {
+  hasCounts(window: number): boolean {
     return Object.keys(this.total(window)).length > 0;
   }
 
@@ -119,26 +127,26 @@
    * duties hear all counts too.
    */
   forgetOld(wallTime: number): void {
-    const oldest = this.windowOf(wallTime) - REPORTED_LATE_WINDOWS;
-    if (oldest === this.#forgottenBefore) return;
-    this.#forgottenBefore = oldest;
+    const oldest = this.windowOf(wallTime) - LATE_REPORT_WINDOWS;
+    if (oldest === this.#droppedBefore) return;
+    this.#droppedBefore = oldest;
     [...this.#peers].forEach(([peer, counts]) => {
-      const kept = newest(counts, oldest);
-      if (Object.keys(kept).length === 0) this.#peers.delete(peer);
-      else this.#peers.set(peer, kept);
+      const retained = newestWindows(counts, oldest);
+      if (Object.keys(retained).length === 0) this.#peers.delete(peer);
+      else this.#peers.set(peer, retained);
     });
   }
 }
 
-function newest(counts: WindowCounts, window: number): WindowCounts {
-  return windowsOf(counts, (name) => name > window - KEPT_WINDOWS);
+function newestWindows(counts: WindowCounts, window: number): WindowCounts {
+  return filterWindows(counts, (name) => name > window - RETAINED_WINDOWS);
 }
 
-function windowsOf(
+function filterWindows(
   counts: WindowCounts,
-  isKept: (window: number) => boolean,
+  isRetained: (window: number) => boolean,
 ): WindowCounts {
   return Object.fromEntries(
-    Object.entries(counts).filter(([name]) => isKept(Number(name))),
+    Object.entries(counts).filter(([name]) => isRetained(Number(name))),
   );
 }
--- a/packages/rampswitch-serving/src/duties/usage_counter_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter_test.ts
@@ -18,7 +18,7 @@
       counter.forgetOld(window * WINDOW_MILLISECONDS);
     }
     const known = Array.from({ length: WINDOWS }, (_, window) => window).filter(
-      (window) => counter.knows(window),
+      (window) => counter.hasCounts(window),
     );
     expect(known).toEqual([713, 714, 715, 716, 717, 718, 719]);
   });
@@ -33,7 +33,7 @@
       wallTime: 100 * WINDOW_MILLISECONDS,
       isFinal: (window: number) => window === 98,
     };
-    expect(counter.lives("self/1", open)).toEqual({
+    expect(counter.openCounts("self/1", open)).toEqual({
       "self/1": { 100: { w: 1 } },
       "peer/1": { 99: { w: 2 } },
     });
--- a/packages/rampswitch-serving/src/duties/usage_duty.ts
+++ b/packages/rampswitch-serving/src/duties/usage_duty.ts
@@ -14,7 +14,7 @@
   type FinalReports,
   type FinalUsage,
   isFinal,
-  withWindows,
+  mergeWindows,
 } from "./final_usage.ts";
 import type { UsageCounts, UsageCounter } from "./usage_counter.ts";
 
@@ -22,7 +22,7 @@
  * Time after a window's end before its counts are final, in milliseconds. Some
  * exchanges of peer news, one of them lost, and a median clock's error.
  */
-export const SETTLE_MILLISECONDS = 1_500;
+export const SETTLING_DELAY_MILLISECONDS = 1_500;
 
 /** Windows whose reports may still be of use; the rest came too late. */
 const REPORTED_WINDOWS = 3;
@@ -32,14 +32,14 @@
  * platform's own bound on clocks. By a clock so far ahead a window may have been
  * final in a lease that can't be read.
  */
-const MOST_SKEW_MILLISECONDS = 5_000;
+const MAXIMUM_SKEW_MILLISECONDS = 5_000;
 
 /** The time of day as a host knows it, in milliseconds. */
 export interface TimeOfDay {
   /** By its own clock. */
   readonly own: number;
   /** On which the hosts agree. */
-  readonly agreed: number;
+  readonly fleet: number;
   /** The same when this process started. */
   readonly startedAt: number;
   /** Whether the agreed time may be relied on. */
@@ -55,7 +55,7 @@
   readonly #cloud: Cloud;
   readonly #logger: Logger;
   readonly #metrics: ServingMetrics;
-  readonly #sent = new Set<string>();
+  readonly #sentWindows = new Set<string>();
   #fence = -1;
 
   constructor(
@@ -80,10 +80,10 @@
     // A process that knows its own clock alone might end windows by a wrong one.
     if (!time.isSettled) return known;
     const complete = known.incomplete
-      ? this.#completed(known, time.agreed)
+      ? this.#complete(known, time.fleet)
       : known;
     const newest =
-      this.#counter.windowOf(time.agreed - SETTLE_MILLISECONDS) - 1;
+      this.#counter.windowOf(time.fleet - SETTLING_DELAY_MILLISECONDS) - 1;
     const first = this.#counter.windowOf(time.startedAt);
     const added = Array.from(
       { length: REPORTED_WINDOWS },
@@ -91,7 +91,7 @@
     ).filter(
       (window) =>
         !isFinal(complete, window) &&
-        (window >= first || this.#counter.knows(window)),
+        (window >= first || this.#counter.hasCounts(window)),
     );
     const reports = {
       ...complete.reports,
@@ -100,8 +100,8 @@
       ),
     };
     return {
-      reports: nearReports(reports, newest),
-      windows: withWindows(
+      reports: reportsToRepeat(reports, newest),
+      windows: mergeWindows(
         complete.windows,
         added.map((window) => [window, window]),
       ),
@@ -110,13 +110,13 @@
   }
 
   /** Makes all windows final that may have been in a lease that can't be read. */
-  #completed(known: FinalUsage, agreed: number): FinalUsage {
-    const last = this.#counter.windowOf(agreed + MOST_SKEW_MILLISECONDS);
-    return { ...known, windows: withWindows(known.windows, [[0, last]]) };
+  #complete(known: FinalUsage, fleetTime: number): FinalUsage {
+    const last = this.#counter.windowOf(fleetTime + MAXIMUM_SKEW_MILLISECONDS);
+    return { ...known, windows: mergeWindows(known.windows, [[0, last]]) };
   }
 
   /** Tells what has become final, now that the lease object holds it. */
-  tellStored(final: FinalUsage, before: FinalUsage, time: TimeOfDay): void {
+  logStored(final: FinalUsage, before: FinalUsage, time: TimeOfDay): void {
     if (before.incomplete && !final.incomplete) {
       this.#metrics.event("usage_not_known");
       this.#logger.warn("final usage was not known", {
@@ -127,23 +127,23 @@
       .filter(([window]) => before.reports[window] === undefined)
       .forEach(([window, counts]) =>
         this.#logger.info("usage final", {
-          ...described(window, counts),
+          ...reportFields(window, counts),
           sinceEndMilliseconds: Math.round(
-            time.agreed - this.#counter.endOf(Number(window)),
+            time.fleet - this.#counter.endOf(Number(window)),
           ),
-          aheadMilliseconds: Math.round(time.own - time.agreed),
+          aheadMilliseconds: Math.round(time.own - time.fleet),
         }),
       );
   }
 
   /** Sends reports that the lease object holds and the cloud has not taken. */
-  async act(reports: FinalReports, fence: Fence): Promise<void> {
+  async sendReports(reports: FinalReports, fence: Fence): Promise<void> {
     if (fence.fence !== this.#fence) {
       this.#fence = fence.fence;
-      this.#sent.clear();
+      this.#sentWindows.clear();
     }
     const due = Object.entries(reports)
-      .filter(([window]) => !this.#sent.has(window))
+      .filter(([window]) => !this.#sentWindows.has(window))
       .toSorted(([left], [right]) => Number(left) - Number(right));
     await due.reduce(
       (previous, [window, counts]) =>
@@ -162,10 +162,10 @@
       fence,
     );
     const result = sent.isOk ? "taken" : sent.error;
-    if (sent.isOk) this.#sent.add(window);
+    if (sent.isOk) this.#sentWindows.add(window);
     this.#metrics.event(`usage_${result}`);
     this.#logger.info("usage reported", {
-      ...described(window, counts),
+      ...reportFields(window, counts),
       fence: fence.fence,
       outcome: result,
     });
@@ -176,7 +176,7 @@
  * Reports that a next holder may still have to send: also some that a clock which is
  * ahead made final.
  */
-function nearReports(reports: FinalReports, newest: number): FinalReports {
+function reportsToRepeat(reports: FinalReports, newest: number): FinalReports {
   const isNear = (window: number) =>
     window > newest - REPORTED_WINDOWS && window <= newest + REPORTED_WINDOWS;
   return Object.fromEntries(
@@ -185,7 +185,7 @@
 }
 
 /** What the log tells of a report; equal counts have equal digests. */
-function described(
+function reportFields(
   window: string,
   counts: UsageCounts,
 ): Readonly<Record<string, number | string>> {
--- a/packages/rampswitch-serving/src/duties/usage_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_duty_test.ts
@@ -4,7 +4,7 @@
 import { Result } from "true-myth";
 import { SILENT_LOGGER } from "rampswitch-utils";
 import { ServingMetrics } from "../observation/mod.ts";
-import { finalUsageOfReports, NO_FINAL_USAGE } from "./final_usage.ts";
+import { finalUsageFromReports, NO_FINAL_USAGE } from "./final_usage.ts";
 import { UsageCounter } from "./usage_counter.ts";
 import { type TimeOfDay, UsageDuty } from "./usage_duty.ts";
 
@@ -16,7 +16,7 @@
 /** A time of day at which window 99 is final. */
 const LATER: TimeOfDay = {
   own: 502_500,
-  agreed: 502_500,
+  fleet: 502_500,
   startedAt: STARTED_AT,
   isSettled: true,
 };
@@ -63,7 +63,7 @@
   test("repeat what was final before", () => {
     const { counter, duty } = startedDuty();
     counter.heard("b", "1", { 99: { w: 2 } });
-    const known = finalUsageOfReports({ 99: { w: 40 } });
+    const known = finalUsageFromReports({ 99: { w: 40 } });
     expect(duty.finalUsage(known, LATER)).toEqual(known);
   });
 });
--- a/packages/rampswitch-serving/src/duties/usage_fleet_standin.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_standin.ts
@@ -20,22 +20,22 @@
 import { loneRollouts, NO_ROLLOUT_STORE } from "../rollout/rollout_standin.ts";
 import { HostDuties } from "./host_duties.ts";
 import { LeaseStore } from "./lease_store_standin.ts";
-import { SETTLE_MILLISECONDS } from "./usage_duty.ts";
+import { SETTLING_DELAY_MILLISECONDS } from "./usage_duty.ts";
 
 /** Length of a reporting window, in milliseconds. */
 export const WINDOW_MILLISECONDS = 2_000;
 
 /** True time of day at the start, in milliseconds. */
-const FIRST_TIME = 1_000_000;
+const START_TIME_MILLISECONDS = 1_000_000;
 
 const STEP_MILLISECONDS = 50;
-const NEWS_MILLISECONDS = 250;
+const GOSSIP_INTERVAL_MILLISECONDS = 250;
 
 /** Longest time that a message between hosts takes, in milliseconds. */
-const NEWS_DELAY_MILLISECONDS = 400;
+const MAXIMUM_GOSSIP_DELAY_MILLISECONDS = 400;
 
 /** Longest time after which a call without an answer is carried out, in milliseconds. */
-const LATE_CALL_MILLISECONDS = 3_000;
+const MAXIMUM_LATE_CALL_MILLISECONDS = 3_000;
 
 /** Time in which faults begin, and the time without any after it, in milliseconds. */
 const FAULTS_MILLISECONDS = 40_000;
@@ -49,24 +49,24 @@
 const RECOVERY_MILLISECONDS = 18_000;
 
 /** Time in which a window is reported after its end, in milliseconds; some tries. */
-const REPORTED_MILLISECONDS = 4_000;
+const REPORT_TIME_MILLISECONDS = 4_000;
 
 const HOUR_MILLISECONDS = 3_600_000;
 
 /** Largest step of a clock that is not off by an hour, in milliseconds. */
-const STEP_OF_CLOCK_MILLISECONDS = 5_000;
+const MAXIMUM_CLOCK_STEP_MILLISECONDS = 5_000;
 
 /** Longest time for which clocks are off, in milliseconds. */
-const CLOCKS_OFF_MILLISECONDS = 4_000;
+const MAXIMUM_CLOCK_FAULT_MILLISECONDS = 4_000;
 
 /** Longest time for which the store or the cloud does not answer, in milliseconds. */
-const SILENT_MILLISECONDS = 3_000;
+const MAXIMUM_OUTAGE_MILLISECONDS = 3_000;
 
 /** Greatest age of a copy that the store comes back from, in milliseconds. */
-const COPY_MILLISECONDS = 6_000;
+const MAXIMUM_COPY_AGE_MILLISECONDS = 6_000;
 
 /** Shares of the hosts whose clocks step at once. */
-const SHARES = [0.25, 0.5, 0.8, 1];
+const CLOCK_FAULT_SHARES = [0.25, 0.5, 0.8, 1];
 
 /** Half of the time around which counts become final; faults are most likely in it. */
 const LIKELY_MILLISECONDS = 200;
@@ -75,7 +75,7 @@
 const FAULT_CHANCE = { usual: 0.02, likely: 0.15 };
 
 /** Chance that the lease is spoilt when its turn has come; nobody acts for 3.5 s. */
-const SPOILING_CHANCE = 0.2;
+const CORRUPTION_CHANCE = 0.2;
 
 /** What may go wrong. */
 export type UsageFault =
@@ -84,10 +84,10 @@
   | "ends"
   | "store"
   | "cloud"
-  | "spoilt_lease"
-  | "news"
+  | "corrupt_lease"
+  | "gossip"
   /** The store is away for a moment and comes back from a copy. */
-  | "copy";
+  | "restore";
 
 /** A report that the cloud was sent. */
 export interface SentReport extends UsageReport {
@@ -99,15 +99,15 @@
 interface SimulatedHost {
   readonly name: string;
   /** How far its agreed time of day is ahead of the truth, in milliseconds. */
-  ahead: number;
-  process: Process | undefined;
+  clockOffset: number;
+  process: SimulatedProcess | undefined;
 }
 
-interface Process {
+interface SimulatedProcess {
   readonly duties: HostDuties;
   /** Differs for each process. */
-  readonly life: string;
-  alive: boolean;
+  readonly incarnation: string;
+  isAlive: boolean;
 }
 
 /** How a fleet is played. */
@@ -115,11 +115,13 @@
   readonly seed: number;
   readonly faults: readonly UsageFault[];
   /** What is wrong with the store's values, as by a wrong program. */
-  readonly wrong?: Partial<Pick<LeaseStore, "altered" | "spoilt">>;
+  readonly storeChanges?: Partial<
+    Pick<LeaseStore, "alterWritten" | "corruptValue">
+  >;
 }
 
 /** What came of a play. */
-export interface FleetPlay {
+export interface FleetResult {
   /** All reports that the cloud was sent, in order. */
   readonly sent: readonly SentReport[];
   /** Windows that surely are reported, since nothing went wrong for long. */
@@ -127,17 +129,19 @@
 }
 
 /** Plays a fleet with faults, and then for a while without. */
-export async function playFleet(options: FleetOptions): Promise<FleetPlay> {
+export async function simulateFleet(
+  options: FleetOptions,
+): Promise<FleetResult> {
   const fleet = new UsageFleet(options);
-  await fleet.pass(FAULTS_MILLISECONDS, { withFaults: true });
+  await fleet.advance(FAULTS_MILLISECONDS, { withFaults: true });
   const calmAt = fleet.now;
-  fleet.heal();
-  await fleet.pass(CALM_MILLISECONDS, { withFaults: false });
+  fleet.endOpenFaults();
+  await fleet.advance(CALM_MILLISECONDS, { withFaults: false });
   const first = Math.ceil(
     (calmAt + RECOVERY_MILLISECONDS) / WINDOW_MILLISECONDS,
   );
   const last = Math.floor(
-    (fleet.now - REPORTED_MILLISECONDS) / WINDOW_MILLISECONDS,
+    (fleet.now - REPORT_TIME_MILLISECONDS) / WINDOW_MILLISECONDS,
   );
   return {
     sent: fleet.sent,
@@ -148,23 +152,23 @@
 /** The hosts, and what is around them. */
 class UsageFleet {
   readonly sent: SentReport[] = [];
-  readonly #clock = new ManualClock(FIRST_TIME);
+  readonly #clock = new ManualClock(START_TIME_MILLISECONDS);
   readonly #random: Random;
   readonly #store: LeaseStore;
   readonly #hosts: readonly SimulatedHost[];
   readonly #faults: readonly UsageFault[];
-  #cloudAnswers = true;
-  #newsArrives = true;
-  #lives = 0;
+  #doesCloudAnswer = true;
+  #doesGossipArrive = true;
+  #lastIncarnation = 0;
 
-  constructor({ seed, faults, wrong }: FleetOptions) {
+  constructor({ seed, faults, storeChanges }: FleetOptions) {
     this.#random = seededRandom(seed);
     this.#store = new LeaseStore(this.#clock, this.#random);
-    Object.assign(this.#store, wrong);
+    Object.assign(this.#store, storeChanges);
     this.#faults = faults;
     this.#hosts = ["a", "b", "c", "d"].map((name) => ({
       name,
-      ahead: 0,
+      clockOffset: 0,
       process: undefined,
     }));
     this.#hosts.forEach((host) => this.#start(host));
@@ -176,7 +180,7 @@
   }
 
   /** Lets some time pass. */
-  async pass(
+  async advance(
     milliseconds: number,
     { withFaults }: { readonly withFaults: boolean },
   ): Promise<void> {
@@ -185,17 +189,18 @@
   }
 
   /** Ends what has no end of its own. */
-  heal(): void {
+  endOpenFaults(): void {
     this.#store.losesAnswers = false;
   }
 
   async #step(withFaults: boolean): Promise<void> {
     this.#clock.advance(STEP_MILLISECONDS);
-    this.#store.tick();
-    this.#hosts.forEach((host) => this.#beginRequests(host));
-    if (this.#clock.now() % NEWS_MILLISECONDS === 0) this.#tellNews();
+    this.#store.applyLateWrites();
+    this.#hosts.forEach((host) => this.#startRequests(host));
+    if (this.#clock.now() % GOSSIP_INTERVAL_MILLISECONDS === 0)
+      this.#exchangeGossip();
     if (withFaults && this.#random.next() < this.#faultChance()) {
-      this.#breakSomething();
+      this.#injectFault();
     }
     // All that follows from what was done in this step, but for timers.
     await new Promise((resolve) => setImmediate(resolve));
@@ -203,121 +208,127 @@
 
   #faultChance(): number {
     const sinceFinal =
-      (this.#clock.now() - SETTLE_MILLISECONDS) % WINDOW_MILLISECONDS;
-    const likely =
+      (this.#clock.now() - SETTLING_DELAY_MILLISECONDS) % WINDOW_MILLISECONDS;
+    const isLikely =
       sinceFinal < LIKELY_MILLISECONDS ||
       WINDOW_MILLISECONDS - sinceFinal < LIKELY_MILLISECONDS;
-    return likely ? FAULT_CHANCE.likely : FAULT_CHANCE.usual;
+    return isLikely ? FAULT_CHANCE.likely : FAULT_CHANCE.usual;
   }
 
-  #breakSomething(): void {
+  #injectFault(): void {
     const fault = this.#faults[this.#random.below(this.#faults.length)];
-    if (fault !== undefined) this.#breaks[fault]();
+    if (fault !== undefined) this.#injectors[fault]();
   }
 
-  readonly #breaks: Readonly<Record<UsageFault, () => void>> = {
+  readonly #injectors: Readonly<Record<UsageFault, () => void>> = {
     clocks: () => {
-      const share = SHARES[this.#random.below(SHARES.length)] ?? 1;
-      const size = this.#random.below(STEP_OF_CLOCK_MILLISECONDS);
+      const share =
+        CLOCK_FAULT_SHARES[this.#random.below(CLOCK_FAULT_SHARES.length)] ?? 1;
+      const size = this.#random.below(MAXIMUM_CLOCK_STEP_MILLISECONDS);
       this.#stepClocks(this.#hosts.slice(0, share * this.#hosts.length), size);
     },
     far_clock: () =>
       this.#stepClocks(this.#hosts.slice(0, 1), HOUR_MILLISECONDS),
-    ends: () => this.#endSome(),
-    store: () => this.#breakStore(),
+    ends: () => this.#endProcesses(),
+    store: () => this.#injectStoreFault(),
     cloud: () => {
-      this.#cloudAnswers = false;
-      this.#clock.after(this.#someTime(SILENT_MILLISECONDS), () => {
-        this.#cloudAnswers = true;
+      this.#doesCloudAnswer = false;
+      this.#clock.after(this.#randomTime(MAXIMUM_OUTAGE_MILLISECONDS), () => {
+        this.#doesCloudAnswer = true;
       });
     },
-    spoilt_lease: () => {
-      if (this.#random.next() < SPOILING_CHANCE) this.#store.spoil();
+    corrupt_lease: () => {
+      if (this.#random.next() < CORRUPTION_CHANCE) this.#store.corrupt();
     },
-    copy: () => {
-      if (!this.#store.reachable) return;
-      this.#store.reachable = false;
-      this.#clock.after(this.#someTime(SILENT_MILLISECONDS), () => {
-        this.#store.comeBackFrom(this.#someTime(COPY_MILLISECONDS));
-        this.#store.reachable = true;
+    restore: () => {
+      if (!this.#store.isReachable) return;
+      this.#store.isReachable = false;
+      this.#clock.after(this.#randomTime(MAXIMUM_OUTAGE_MILLISECONDS), () => {
+        this.#store.restoreFromCopy(
+          this.#randomTime(MAXIMUM_COPY_AGE_MILLISECONDS),
+        );
+        this.#store.isReachable = true;
       });
     },
-    news: () => {
-      this.#newsArrives = false;
-      this.#clock.after(this.#someTime(SILENT_MILLISECONDS), () => {
-        this.#newsArrives = true;
+    gossip: () => {
+      this.#doesGossipArrive = false;
+      this.#clock.after(this.#randomTime(MAXIMUM_OUTAGE_MILLISECONDS), () => {
+        this.#doesGossipArrive = true;
       });
     },
   };
 
   /** Clocks of some hosts step ahead or back, and heal later. */
   #stepClocks(hosts: readonly SimulatedHost[], size: number): void {
-    const ahead = this.#random.next() < 0.5 ? size : -size;
+    const offset = this.#random.next() < 0.5 ? size : -size;
     hosts.forEach((host) => {
-      host.ahead = ahead;
+      host.clockOffset = offset;
     });
-    this.#clock.after(this.#someTime(CLOCKS_OFF_MILLISECONDS), () =>
+    this.#clock.after(this.#randomTime(MAXIMUM_CLOCK_FAULT_MILLISECONDS), () =>
       hosts.forEach((host) => {
-        host.ahead = 0;
+        host.clockOffset = 0;
       }),
     );
   }
 
-  #endSome(): void {
+  #endProcesses(): void {
     const holder = this.#hosts.find(
       ({ process }) => (process?.duties.lease?.version ?? -1) >= 0,
     );
     const any = this.#hosts[this.#random.below(this.#hosts.length)];
-    const ways: readonly (() => void)[] = [
+    const actions: readonly (() => void)[] = [
       () => this.#kill(any),
       () => this.#kill(holder),
       () => this.#hosts.forEach((host) => this.#kill(host)),
       () =>
         void holder?.process?.duties.release().then(() => this.#kill(holder)),
     ];
-    ways[this.#random.below(ways.length)]?.();
+    actions[this.#random.below(actions.length)]?.();
   }
 
-  #breakStore(): void {
+  #injectStoreFault(): void {
     const { losesAnswers } = this.#store;
     if (losesAnswers || this.#random.next() < 0.5) {
       this.#store.losesAnswers = !losesAnswers;
       return;
     }
-    this.#store.reachable = false;
-    this.#clock.after(this.#someTime(SILENT_MILLISECONDS), () => {
-      this.#store.reachable = true;
+    this.#store.isReachable = false;
+    this.#clock.after(this.#randomTime(MAXIMUM_OUTAGE_MILLISECONDS), () => {
+      this.#store.isReachable = true;
     });
   }
 
-  #someTime(most: number): number {
-    return this.#random.below(most);
+  #randomTime(maximum: number): number {
+    return this.#random.below(maximum);
   }
 
   #kill(host: SimulatedHost | undefined): void {
     const process = host?.process;
     if (host === undefined || process === undefined) return;
-    process.alive = false;
+    process.isAlive = false;
     host.process = undefined;
     void process.duties[Symbol.asyncDispose]();
-    this.#clock.after(this.#someTime(SILENT_MILLISECONDS), () =>
+    this.#clock.after(this.#randomTime(MAXIMUM_OUTAGE_MILLISECONDS), () =>
       this.#start(host),
     );
   }
 
   #start(host: SimulatedHost): void {
     if (host.process !== undefined) return;
-    this.#lives += 1;
-    const state = { alive: true, life: String(this.#lives) };
-    const wallTime = () => this.#clock.now() + host.ahead;
+    this.#lastIncarnation += 1;
+    const simulated = {
+      isAlive: true,
+      incarnation: String(this.#lastIncarnation),
+    };
+    const wallTime = () => this.#clock.now() + host.clockOffset;
     const duties = new HostDuties({
       holdMilliseconds: () => 1_000,
       limitOf: () => undefined,
       host: host.name,
-      incarnation: state.life,
-      store: this.#store.seenBy(() => state.alive),
+      incarnation: simulated.incarnation,
+      store: this.#store.viewFor(() => simulated.isAlive),
       leaseKey: "leases/duties",
-      cloud: this.#cloudOf(state),
+      cloud: this.#cloudOf(simulated),
       clock: this.#clock,
       cautiousClock: this.#clock,
       wallTime,
@@ -336,52 +347,58 @@
       load: () => ({ running: 0, readTokensPerSecond: 0, readingRate: 0 }),
       idle: () => true,
       routes: () => undefined,
-      eligible: () => state.alive,
+      eligible: () => simulated.isAlive,
     });
-    host.process = Object.assign(state, { duties });
+    host.process = Object.assign(simulated, { duties });
     duties.start();
   }
 
-  #cloudOf(process: { readonly alive: boolean }): Cloud {
+  #cloudOf(process: { readonly isAlive: boolean }): Cloud {
     return {
       reportUsage: (report, { holder, fence }) => {
-        if (!process.alive) return Promise.resolve(Result.err("no_answer"));
+        if (!process.isAlive) return Promise.resolve(Result.err("no_answer"));
         const take = () =>
           this.sent.push({ ...report, at: this.#clock.now(), holder, fence });
-        if (this.#cloudAnswers) {
+        if (this.#doesCloudAnswer) {
           take();
           return Promise.resolve(Result.ok(undefined));
         }
-        this.#clock.after(this.#someTime(LATE_CALL_MILLISECONDS), take);
+        this.#clock.after(
+          this.#randomTime(MAXIMUM_LATE_CALL_MILLISECONDS),
+          take,
+        );
         return Promise.resolve(Result.err("no_answer"));
       },
       orderServers: () => Promise.resolve(Result.ok(undefined)),
     };
   }
 
-  #beginRequests({ process, ahead }: SimulatedHost): void {
+  #startRequests({ process, clockOffset }: SimulatedHost): void {
     if (process === undefined || this.#random.next() < 0.5) return;
     const workspace = `w${this.#random.below(2)}`;
-    process.duties.usage.began(workspace, this.#clock.now() + ahead);
+    process.duties.usage.began(workspace, this.#clock.now() + clockOffset);
   }
 
-  #tellNews(): void {
-    if (!this.#newsArrives) return;
+  #exchangeGossip(): void {
+    if (!this.#doesGossipArrive) return;
     this.#hosts.forEach((from) => {
       const { process } = from;
       if (process === undefined) return;
-      const { life } = process;
+      const { incarnation } = process;
       const { usage } = process.duties;
-      usage.forgetOld(this.#clock.now() + from.ahead);
-      const counts = usage.own(this.#clock.now() + from.ahead);
+      usage.forgetOld(this.#clock.now() + from.clockOffset);
+      const counts = usage.own(this.#clock.now() + from.clockOffset);
       const { lease } = process.duties;
       this.#hosts
         .filter((to) => to !== from)
         .forEach((to) =>
-          this.#clock.after(this.#someTime(NEWS_DELAY_MILLISECONDS), () => {
-            to.process?.duties.usage.heard(from.name, life, counts);
-            if (lease !== undefined) to.process?.duties.heard(lease);
-          }),
+          this.#clock.after(
+            this.#randomTime(MAXIMUM_GOSSIP_DELAY_MILLISECONDS),
+            () => {
+              to.process?.duties.usage.heard(from.name, incarnation, counts);
+              if (lease !== undefined) to.process?.duties.heard(lease);
+            },
+          ),
         );
     });
   }
--- a/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
@@ -17,8 +17,8 @@
 import { describe, expect, test } from "@jest/globals";
 import {
   type FleetOptions,
-  type FleetPlay,
-  playFleet,
+  type FleetResult,
+  simulateFleet,
   type SentReport,
   type UsageFault,
 } from "./usage_fleet_standin.ts";
@@ -28,15 +28,17 @@
 /** Time for the plays of one test on a busy machine, in milliseconds. */
 const TEST_MILLISECONDS = 240_000;
 
-function playAll(
+function simulateAll(
   faults: readonly UsageFault[],
-  wrong: FleetOptions["wrong"] = {},
-): Promise<readonly FleetPlay[]> {
-  return Promise.all(SEEDS.map((seed) => playFleet({ seed, faults, wrong })));
+  storeChanges: FleetOptions["storeChanges"] = {},
+): Promise<readonly FleetResult[]> {
+  return Promise.all(
+    SEEDS.map((seed) => simulateFleet({ seed, faults, storeChanges })),
+  );
 }
 
 /** Windows of which reports with other counts were sent, and by whom. */
-function reportedTwice({ sent }: FleetPlay): readonly string[] {
+function reportedTwice({ sent }: FleetResult): readonly string[] {
   const first = new Map<number, SentReport>();
   return sent.flatMap((report) => {
     const before = first.get(report.window) ?? report;
@@ -60,7 +62,7 @@
 }
 
 /** Windows that were never reported, though nothing went wrong any more. */
-function neverReported({ sent, due }: FleetPlay): readonly string[] {
+function neverReported({ sent, due }: FleetResult): readonly string[] {
   const reported = new Set(sent.map(({ window }) => window));
   return due
     .filter((window) => !reported.has(window))
@@ -68,7 +70,7 @@
 }
 
 /** Fences under which more than one host sent reports. */
-function sharedFences({ sent }: FleetPlay): readonly string[] {
+function fencesOfSeveralHosts({ sent }: FleetResult): readonly string[] {
   const holders = new Map<number, string>();
   return sent.flatMap(({ fence, holder }) => {
     const first = holders.get(fence) ?? holder;
@@ -78,15 +80,15 @@
 }
 
 /** What was broken in plays with some faults. */
-async function broken(
+async function findViolations(
   faults: readonly UsageFault[],
 ): Promise<readonly (readonly string[])[]> {
-  const played = await playAll(faults);
+  const played = await simulateAll(faults);
   return played
     .map((play) => [
       ...reportedTwice(play),
       ...neverReported(play),
-      ...sharedFences(play),
+      ...fencesOfSeveralHosts(play),
     ])
     .filter((found) => found.length > 0);
 }
@@ -95,7 +97,7 @@
   test(
     "are equal while clocks step and hosts are replaced",
     async () => {
-      expect(await broken(["clocks", "far_clock", "ends"])).toEqual([]);
+      expect(await findViolations(["clocks", "far_clock", "ends"])).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
@@ -103,7 +105,9 @@
   test(
     "are equal when the lease that held them can't be read",
     async () => {
-      expect(await broken(["spoilt_lease", "ends", "news"])).toEqual([]);
+      expect(await findViolations(["corrupt_lease", "ends", "gossip"])).toEqual(
+        [],
+      );
     },
     TEST_MILLISECONDS,
   );
@@ -111,7 +115,9 @@
   test(
     "are equal while answers of store and cloud come late or never",
     async () => {
-      expect(await broken(["store", "cloud", "ends", "news"])).toEqual([]);
+      expect(
+        await findViolations(["store", "cloud", "ends", "gossip"]),
+      ).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
@@ -119,7 +125,7 @@
   test(
     "are equal while the store comes back from copies",
     async () => {
-      expect(await broken(["copy", "ends", "news"])).toEqual([]);
+      expect(await findViolations(["restore", "ends", "gossip"])).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
@@ -128,14 +134,14 @@
     "are equal while it does so beside all else",
     async () => {
       const faults: readonly UsageFault[] = [
-        "copy",
+        "restore",
         "ends",
         "store",
         "cloud",
-        "news",
+        "gossip",
         "clocks",
       ];
-      expect(await broken(faults)).toEqual([]);
+      expect(await findViolations(faults)).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
@@ -148,10 +154,10 @@
         "ends",
         "store",
         "cloud",
-        "spoilt_lease",
-        "news",
+        "corrupt_lease",
+        "gossip",
       ];
-      expect(await broken(faults)).toEqual([]);
+      expect(await findViolations(faults)).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
@@ -163,24 +169,26 @@
   readonly reports?: Readonly<Record<string, unknown>>;
 }
 
-function changedBy(
+function rewriteLease(
   change: (lease: StoredLease) => StoredLease,
 ): (value: string) => string {
   return (value) => JSON.stringify(change(JSON.parse(value) as StoredLease));
 }
 
 describe("a wrong rule is found", () => {
-  test.each<[string, readonly UsageFault[], FleetOptions["wrong"]]>([
+  test.each<[string, readonly UsageFault[], FleetOptions["storeChanges"]]>([
     [
       "final windows are forgotten with their reports",
       ["clocks", "far_clock", "ends"],
-      { altered: changedBy((lease) => ({ ...lease, finalWindows: [] })) },
+      {
+        alterWritten: rewriteLease((lease) => ({ ...lease, finalWindows: [] })),
+      },
     ],
     [
       "only the newest final windows are kept",
       ["clocks", "far_clock", "ends"],
       {
-        altered: changedBy((lease) => ({
+        alterWritten: rewriteLease((lease) => ({
           ...lease,
           finalWindows: (lease.finalWindows ?? [])
             .slice(-1)
@@ -190,9 +198,9 @@
     ],
     [
       "a lease that can't be read counts as one without final windows",
-      ["spoilt_lease", "ends", "news"],
+      ["corrupt_lease", "ends", "gossip"],
       {
-        spoilt: changedBy((lease) => ({
+        corruptValue: rewriteLease((lease) => ({
           ...lease,
           finalWindows: [],
           reports: {},
@@ -201,8 +209,8 @@
     ],
   ])(
     "%s",
-    async (_name, faults, wrong) => {
-      const played = await playAll(faults, wrong);
+    async (_name, faults, storeChanges) => {
+      const played = await simulateAll(faults, storeChanges);
       expect(played.flatMap(reportedTwice).length).toBeGreaterThan(0);
     },
     TEST_MILLISECONDS,
