--- a/packages/rampswitch-serving/src/duties/capacity_duty.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Orders backend servers by the plan: rises at once, falls after a while, and
- * remembers where the cloud had nothing to give.
+ * Orders backend servers according to the capacity plan. It scales up at once,
+ * scales down after a delay, and remembers in which data halls the cloud had no
+ * reclaimable servers.
  *
  * @module
  */
@@ -24,57 +25,63 @@
   type ServiceLoad,
 } from "./capacity_plan.ts";
 
-/** A fall of a wish is ordered after it lasted this long, in milliseconds. */
+/**
+ * Time for which too many servers are ordered before fewer are, in
+ * milliseconds.
+ */
 const SCALE_DOWN_DELAY_MILLISECONDS = 6_000;
 
 /**
- * The same for servers on demand, in milliseconds. They are wished for less as
- * soon as reclaimable ones are ready in their place, which is no chance of the
- * load, and each costs as much as four or more of those.
+ * The same for servers on demand, in milliseconds. Fewer of them are planned as
+ * soon as reclaimable ones are ready in their place. That is no fluctuation of
+ * the load, and each one costs as much as four or more reclaimable ones.
  */
 const ON_DEMAND_SCALE_DOWN_DELAY_MILLISECONDS = 1_500;
 
-/** After a refusal, reclaimable servers are asked for again after this, in ms. */
+/** Time after a refusal until reclaimable servers are ordered again, in ms. */
 const SOLD_OUT_RETRY_MILLISECONDS = 3_000;
 
 /**
- * After an announced reclaim, none are asked for in that data hall for this
- * long, in milliseconds.
+ * Time after an announced reclaim in which no reclaimable servers are ordered
+ * in that data hall, in milliseconds.
  */
 const RECLAIM_COOLDOWN_MILLISECONDS = 6_000;
 
 /** Time beyond the usual start in which ordered servers are expected, in ms. */
 const START_MARGIN_MILLISECONDS = 2_500;
 
-/** Wait before an order without an answer is repeated, in milliseconds. */
+/** Time until an order without an answer is sent again, in milliseconds. */
 const ORDER_RETRY_MILLISECONDS = 1_000;
 
 /**
- * Time after an order without an answer until the newest one is sent again, in
- * milliseconds. The cloud may carry an unanswered order out seconds later, behind
- * newer ones, and tells nobody: what it has then is what an old plan wished.
+ * Time after an order without an answer until the newest order is sent again,
+ * in milliseconds. The cloud may carry out an unanswered order seconds later,
+ * after newer ones, and reports this to nobody. It then has the servers of an
+ * old plan.
  */
 const ORDER_CONFIRM_MILLISECONDS = 6_000;
 
 /**
- * Time without a further server after which a deployment's first servers are
- * taken to be listed, in milliseconds: two heartbeats of theirs.
+ * Time without a further server after which the first servers of a deployment
+ * are taken to be listed, in milliseconds: two of their heartbeats.
  */
 const REGISTRATION_MILLISECONDS = 2_400;
 
-/** Most servers that were listed before any load, and since when. */
+/**
+ * Maximum number of servers that were listed before any load, and since when.
+ */
 interface InitialServerCount {
   readonly listed: number;
   readonly since: number;
 }
 
 interface OrderState {
-  /** What the cloud has taken; `undefined` when that is not known. */
+  /** Servers that the cloud accepted; `undefined` while that is not known. */
   ordered: number | undefined;
   orderedAt: number;
   excessSince: number | undefined;
   retryAt: number;
-  /** When to repeat the newest order, since an older one may follow it. */
+  /** When to send the newest order again, since an older one may follow it. */
   confirmAt: number | undefined;
 }
 
@@ -88,11 +95,11 @@
   /** Data halls of the system. */
   readonly dataHalls: readonly string[];
   load(service: string): ServiceLoad;
-  /** Time for which a request of a service holds a place, in milliseconds. */
+  /** Time for which a request of a service holds a slot, in milliseconds. */
   holdMilliseconds(service: string): number;
-  /** Requests a second that a server takes, where it names a limit. */
+  /** Requests per second that a server accepts, if it advertises a limit. */
   limitOf(record: ServerRecord): number | undefined;
-  /** Whether no request has come since this host started. */
+  /** Whether no request has arrived since this host started. */
   isIdle(): boolean;
 }
 
@@ -101,7 +108,9 @@
   readonly #parts: CapacityParts;
   readonly #states = new Map<string, OrderState>();
   readonly #soldOutUntil = new Map<string, number>();
-  /** What the last plan of each service went by, for the log. */
+  /**
+   * Load and needed servers behind the last plan of each service, for the log.
+   */
   readonly #plannedLoads = new Map<string, ServiceLoad & { needed: number }>();
   readonly #initialCounts = new Map<string, InitialServerCount>();
   #fence = -1;
@@ -160,8 +169,9 @@
   }
 
   /**
-   * Servers that are needed in place of limited ones, until the limits end, and of
-   * those that rest, by the share of the time that they do.
+   * Returns the servers that are needed in place of limited ones, until their
+   * limits end, and of those in back-off, by the share of the time that they
+   * back off.
    */
   #missingServers(
     { name }: Service,
@@ -187,8 +197,9 @@
   }
 
   /**
-   * Servers needed before any load: by the number that the deployment began
-   * with, or, while that still registers, by what the service may grow to.
+   * Returns the servers that are needed before any load. They follow from the
+   * number of servers that the deployment began with or, while these still
+   * register, from the limits of the service.
    */
   #initiallyNeeded({ name, capacity }: Service, now: number): number {
     const initial = this.#initialCounts.get(name);
@@ -201,9 +212,9 @@
       : listed;
   }
 
-  /** Counts the servers that a deployment begins with while they register. */
+  /** Records how many servers a deployment begins with, while they register. */
   #recordInitialCount(service: Service, now: number): void {
-    // Reclaimable ones were ordered by the plan itself.
+    // Reclaimable servers were ordered by the plan itself.
     const listed = this.#parts.directory
       .of(service.name)
       .filter((record) => !isReclaimable(record)).length;
@@ -213,7 +224,7 @@
   }
 
   #hallServers(service: Service, now: number): readonly DataHallServers[] {
-    // Servers of a version that is still judged carry nothing yet.
+    // Servers of a version that is still being evaluated carry no load yet.
     const records = this.#parts.directory
       .of(service.name)
       .filter((record) => this.#parts.rollouts.counts(record));
@@ -237,7 +248,7 @@
       });
   }
 
-  /** Reclaimable servers that are ready or should soon be. */
+  /** Returns the reclaimable servers that are ready or should soon be. */
   #expectedReclaimable(
     service: Service,
     dataHall: string,
@@ -254,15 +265,16 @@
       : options.ready;
   }
 
-  /** Whether a data hall was reclaimed or had nothing to give lately. */
+  /** Whether a data hall lately was reclaimed or had no servers to give. */
   #isSoldOut(service: Service, dataHall: string, now: number): boolean {
     const until = this.#soldOutUntil.get(`${service.name}/${dataHall}`) ?? 0;
     return until > now;
   }
 
   /**
-   * A reclaimable server was announced to leave. Where more were ordered than
-   * are left, the cloud takes them back and has none to give for a while.
+   * Records that the reclaim of a reclaimable server was announced. If more
+   * servers were ordered than remain, the cloud takes them back and has none to
+   * give for a while.
    */
   recordAnnouncedReclaim(
     service: string,
@@ -287,7 +299,7 @@
     const onDemand = this.#states.get(
       stateKey(service.name, hall.dataHall, false),
     );
-    // While the first servers register, more may be there than were ordered.
+    // While the first servers register, more may exist than were ordered.
     const current = this.#parts.isIdle()
       ? Math.max(onDemand?.ordered ?? 0, hall.onDemandReady)
       : (onDemand?.ordered ?? hall.onDemandReady);
@@ -327,7 +339,8 @@
     }
     if (now < state.retryAt) return false;
     if (order.desired > current) return true;
-    // A roll-out needs all that there are; what is too many falls after it.
+    // A roll-out needs all existing servers; surplus ones are given up after
+    // it.
     if (this.#parts.rollouts.isMoving(order.service)) return false;
     state.excessSince ??= now;
     const wait = order.reclaimable
--- a/packages/rampswitch-serving/src/duties/capacity_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty_test.ts
@@ -39,7 +39,9 @@
   },
 });
 
-/** A duty before any load, with a cloud that takes every order it answers. */
+/**
+ * Creates a duty before any load; the cloud takes every order that it answers.
+ */
 function idleDuty(
   doesAnswer: () => boolean = () => true,
   overrides: Partial<
@@ -96,7 +98,7 @@
 }
 
 describe("servers before the first load", () => {
-  test("are ordered at once, by what the service may grow to", async () => {
+  test("are ordered at once, by the limits of the service", async () => {
     const { duty, orders, directory } = idleDuty();
     listServers(directory, 3);
     await duty.sendDueOrders(ROUTES, FENCE, 0);
@@ -104,20 +106,20 @@
     expect(totalDesired(orders, false)).toBeGreaterThanOrEqual(54);
   });
 
-  test("are not sent away while they still register", async () => {
+  test("are not given up while they still register", async () => {
     const { duty, orders, directory } = idleDuty();
     for (let at = 0; at <= 3_000; at += 500) {
       const listed = 1 + (at / 500) * 15;
       listServers(directory, listed);
       await duty.sendDueOrders(ROUTES, FENCE, at);
-      // 0.6 of 90 servers on demand are kept, or all that are there.
+      // 0.6 of 90 servers on demand are retained, or all that exist.
       expect(onDemandAfterOrders(orders, directory)).toBeGreaterThanOrEqual(
         Math.min(54, listed),
       );
     }
   });
 
-  test("are planned by all that registered", async () => {
+  test("are planned by the number that registered", async () => {
     const { duty, orders, directory } = idleDuty();
     listServers(directory, 20);
     await duty.sendDueOrders(ROUTES, FENCE, 0);
@@ -127,19 +129,20 @@
         .filter(({ reclaimable }) => reclaimable)
         .map((order) => [order.dataHall, order.desired]),
     );
-    // 0.6 of 20 servers, 16/9 of it for the reserve, over four data halls.
+    // 0.6 of 20 servers, 16/9 of it with the reserve, over four data halls.
     expect([...last.values()]).toEqual([6, 6, 5, 5]);
   });
 });
 
-describe("servers that name limits", () => {
-  /** Reclaimable servers that are ordered while some servers name a limit. */
+describe("servers that advertise limits", () => {
+  /** Returns the reclaimable servers ordered while some servers have limits. */
   async function reclaimableOrderedWith(
     limits: readonly number[],
   ): Promise<number> {
     const { duty, orders, directory } = idleDuty(() => true, {
       isIdle: () => false,
-      // Some 16 requests a second for each of the servers that this load needs.
+      // Some 16 requests per second for each of the servers that this load
+      // needs.
       load: () => ({ running: 160, readTokensPerSecond: 0, readingRate: 40 }),
       limitOf: ({ entry }) => limits[Number(entry.id.slice(1))],
     });
@@ -148,15 +151,15 @@
     return totalDesired(orders, true);
   }
 
-  test("are replaced by what they do not take", async () => {
+  test("are replaced for the share that they do not accept", async () => {
     const usual = await reclaimableOrderedWith([]);
     const replaced = await reclaimableOrderedWith([1, 1.2, 0.5, 0]);
-    // Four servers, 16/9 of them for the reserve.
+    // Four servers, 16/9 of them with the reserve.
     expect(replaced - usual).toBeGreaterThanOrEqual(6);
     expect(replaced - usual).toBeLessThanOrEqual(8);
   });
 
-  test("are not where they take as much as any", async () => {
+  test("are not replaced if they accept as much as any other", async () => {
     expect(await reclaimableOrderedWith([80, 80])).toBe(
       await reclaimableOrderedWith([]),
     );
@@ -164,7 +167,7 @@
 });
 
 describe("orders while the cloud does not answer", () => {
-  /** Orders sent in each second of a run. */
+  /** Returns the orders sent in each second of a simulation. */
   async function ordersBySecond(
     seconds: number,
     answersAt: (second: number) => boolean,
@@ -191,7 +194,7 @@
     return `${dataHall}/${reclaimable}`;
   }
 
-  test("are repeated once a second, and not forgotten", async () => {
+  test("are repeated once a second until they are answered", async () => {
     const sent = await ordersBySecond(6, (second) => second >= 4);
     const subjects = sent.map((orders) => orders.map(subjectOf));
     subjects.slice(0, 4).forEach((names) => {
@@ -201,7 +204,7 @@
     expect(subjects[4]).toEqual(expect.arrayContaining(subjects[0] ?? []));
   });
 
-  test("are sent once more after it, since they may be carried out late", async () => {
+  test("are sent once more afterwards, since they may be carried out late", async () => {
     const sent = await ordersBySecond(20, (second) => second >= 2);
     const unanswered = new Set(sent.slice(0, 2).flat().map(subjectOf));
     const answered = sent.slice(2).flat();
--- a/packages/rampswitch-serving/src/duties/capacity_plan.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_plan.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * How many backend servers each data hall is to have, on demand and
- * reclaimable. Pure: what is known goes in, the wish comes out.
+ * Plans how many backend servers each data hall is to have, on demand and
+ * reclaimable. All functions are pure: they map the current state to target
+ * numbers.
  *
  * @module
  */
@@ -10,11 +11,11 @@
 
 /** Load of one service over all hosts. */
 export interface ServiceLoad {
-  /** Requests running and waiting. */
+  /** Requests that run or wait. */
   readonly running: number;
-  /** Prompt tokens a second that engines have to read. */
+  /** Prompt tokens per second that engines have to read. */
   readonly readTokensPerSecond: number;
-  /** Tokens that one engine reads in a millisecond. */
+  /** Tokens that one engine reads per millisecond. */
   readonly readingRate: number;
 }
 
@@ -23,42 +24,49 @@
   readonly dataHall: string;
   readonly onDemandReady: number;
   readonly reclaimableReady: number;
-  /** Reclaimable servers ready or ordered so lately that they still start. */
+  /**
+   * Reclaimable servers that are ready or were ordered lately and still start.
+   */
   readonly reclaimableExpected: number;
   /** Whether the cloud has no reclaimable servers to give there now. */
   readonly reclaimableSoldOut: boolean;
 }
 
-/** Servers wished for in one data hall. */
+/** Target numbers of servers in one data hall. */
 export interface DataHallTarget {
   readonly dataHall: string;
-  /** `undefined`: leave what was ordered, since none can be had. */
+  /**
+   * `undefined`: leave the order as it is, since the cloud has none to give.
+   */
   readonly reclaimable: number | undefined;
-  /** On demand, at least and at most; in between nothing needs to change. */
+  /** Minimum and maximum on demand; numbers in between need no change. */
   readonly onDemandMinimum: number;
   readonly onDemandMaximum: number;
 }
 
 /**
- * Most of its time, or of its slots, that an engine of a large fleet is planned
- * to use; the rest keeps waits for first tokens within the targets.
+ * Share of its time, or of its slots, that an engine of a large fleet is
+ * planned to use at most. The remainder keeps waits for first tokens within the
+ * targets.
  */
 const LARGE_FLEET_UTILIZATION = 0.55;
 
 /**
- * Engines on top for each square root of the engines that the load fills: the
- * fewer engines share the load, the more of them wait for its peaks.
+ * Additional engines for each square root of the engines that the load fills.
+ * The fewer engines share the load, the more of them are needed for its peaks.
  */
 const PEAK_RESERVE_FACTOR = 1.65;
 
 /**
- * Reclaimable servers that are to be left, for each one that the load needs,
- * when one data hall is reclaimed. They carry the load, the runs that move and
- * the prompts that are read again.
+ * Reclaimable servers that are to remain, for each one that the load needs,
+ * after one data hall is reclaimed. They carry the load, the runs that migrate
+ * and the prompts that are read again.
  */
 const REMAINING_AFTER_RECLAIM_RATIO = 4 / 3;
 
-/** Reclaimable servers to order for each one that the load needs. */
+/**
+ * Returns the reclaimable servers to order for each one that the load needs.
+ */
 function reclaimReserveRatio(dataHalls: number): number {
   return (
     (REMAINING_AFTER_RECLAIM_RATIO * dataHalls) / Math.max(1, dataHalls - 1)
@@ -66,46 +74,48 @@
 }
 
 /**
- * Share of the servers needed that has to be left when the data hall with most
- * reclaimable ones is reclaimed. Others can then be had in the other halls.
+ * Share of the needed servers that has to remain when the data hall with most
+ * reclaimable servers is reclaimed. Others can then be had in the other halls.
  */
 const MINIMUM_REMAINING_SHARE = 0.35;
 
 /**
- * The same while reclaims leave no others to be had: only servers on demand
- * can follow, and those take seconds to start. The plan uses servers to 0.55 at
- * most, so three quarters of them carry the load meanwhile.
+ * The same while no other reclaimable servers can be had after reclaims. Only
+ * servers on demand can then follow, and those take seconds to start. The plan
+ * uses 0.55 of each server at most, so three quarters of them carry the load
+ * meanwhile.
  */
 const MINIMUM_REMAINING_SHARE_WHILE_SOLD_OUT = 0.75;
 
 /**
- * Largest part of the servers on demand that one data hall has. The cheapest
- * two share them: a third or fourth would cost more and protect little more.
+ * Maximum share of the servers on demand in one data hall. The two cheapest
+ * data halls share them: a third or fourth would cost more and protect little
+ * more.
  */
 const MAXIMUM_HALL_SHARE = 0.5;
 
-/** Fewest servers that a service with any load is planned with. */
+/** Minimum number of servers that a service with any load is planned with. */
 const MINIMUM_SERVERS = 3;
 
 /**
- * Share of the servers that a deployment begins with that is kept until its
- * first load tells more.
+ * Share of a deployment's initial servers that is retained until the first load
+ * shows how many are needed.
  */
 const INITIAL_SERVERS_SHARE = 0.6;
 
-/** Servers to have before any request has come. */
+/** Returns the servers to have before any request has arrived. */
 export function serversBeforeLoad(listed: number): number {
   return Math.max(MINIMUM_SERVERS, Math.ceil(listed * INITIAL_SERVERS_SHARE));
 }
 
 /**
- * Share of the most servers that a service may have that it is planned with
- * before its first servers are listed: deployments begin with about half of the
- * most, and FIRST_SHARE of that is kept.
+ * Share of the maximum number of servers of a service that is planned before
+ * its first servers are listed. Deployments begin with about half of the
+ * maximum, and INITIAL_SERVERS_SHARE of that is retained.
  */
 const INITIAL_SHARE_OF_MAXIMUM = INITIAL_SERVERS_SHARE / 2;
 
-/** Servers to have before it is known how many there are. */
+/** Returns the servers to have before the first servers are listed. */
 export function serversBeforeListing(
   limits: CapacityLimits,
   dataHalls: number,
@@ -113,7 +123,7 @@
   return Math.ceil(limits.maximum * dataHalls * INITIAL_SHARE_OF_MAXIMUM);
 }
 
-/** Servers that a load needs. */
+/** Returns the servers that a load needs. */
 export function serversNeeded(load: ServiceLoad, engine: EngineLimits): number {
   const reading = load.readTokensPerSecond / (load.readingRate * 1_000);
   const running = load.running / engine.slots;
@@ -125,15 +135,15 @@
 }
 
 /**
- * Servers whose work others have to do, since they name limits: each counts for the
- * share that it takes of what a server of the service usually gets.
+ * Returns how many servers are missing because servers advertise limits. Each
+ * counts for the share of a server's usual load that it does not accept.
  */
 export function serversMissingByLimits(
   limits: readonly number[],
   typicalLoad: {
     /** Requests that run at all servers together. */
     readonly running: number;
-    /** Time for which a request holds a place, in milliseconds. */
+    /** Time for which a request holds a slot, in milliseconds. */
     readonly holdMilliseconds: number;
     /** Servers that the load needs. */
     readonly needed: number;
@@ -148,9 +158,9 @@
 }
 
 /**
- * Plans all data halls of a service. Reclaimable servers are a fraction of the
+ * Plans all data halls of a service. Reclaimable servers cost a fraction of the
  * price, so they carry the load with a reserve, spread over the data halls that
- * have them; servers on demand fill what is missing.
+ * have them. Servers on demand fill what is missing.
  */
 export function planCapacity(
   needed: number,
@@ -192,8 +202,9 @@
 }
 
 /**
- * Servers on demand that are needed beside reclaimable ones: to carry the load,
- * and to carry most of it when the data hall with most of them is reclaimed.
+ * Returns the servers on demand that are needed beside reclaimable ones: to
+ * carry the load, and to carry most of it when the data hall with most
+ * reclaimable servers is reclaimed.
  */
 function onDemandNeeded(
   needed: number,
@@ -209,14 +220,14 @@
   );
 }
 
-/** A data hall that servers on demand may be in. */
+/** A data hall that may have servers on demand. */
 interface OnDemandHall {
   readonly dataHall: string;
   readonly ready: number;
   readonly headroom: number;
 }
 
-/** Keeps servers that are ready, and fills the cheapest data halls with others. */
+/** Retains ready servers, and fills the cheapest data halls with the others. */
 function fillCheapest(
   count: number,
   halls: readonly OnDemandHall[],
@@ -251,7 +262,7 @@
   );
 }
 
-/** Gives each place in turn what it has room for, until nothing is left. */
+/** Fills each headroom in order until nothing is left of the count. */
 function fillInOrder(
   count: number,
   headrooms: readonly number[],
@@ -265,7 +276,7 @@
   return counts.reduce((total, count) => total + count, 0);
 }
 
-/** Spreads servers evenly; the first data halls get what is left over. */
+/** Spreads servers evenly; the first data halls get the remainder. */
 function spreadEvenly(
   count: number,
   halls: readonly DataHallServers[],
--- a/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
@@ -46,8 +46,8 @@
 
 const READY = { reclaimableReady: 3, reclaimableExpected: 3 };
 
-describe("servers needed", () => {
-  test("follow the reading of prompts and the slots in use", () => {
+describe("needed servers", () => {
+  test("follow from the prompt tokens to read and the slots in use", () => {
     const engine = { slots: 32, memoryTokens: 500_000, movable: true };
     const load = { running: 0, readTokensPerSecond: 0, readingRate: 50 };
     expect(serversNeeded(load, engine)).toBe(3);
@@ -57,7 +57,7 @@
     expect(serversNeeded({ ...load, running: 100 }, engine)).toBe(9);
   });
 
-  test("are used more fully the more of them share a load", () => {
+  test("are utilized more fully the more of them share a load", () => {
     const engine = { slots: 16, memoryTokens: 500_000, movable: true };
     const shares = [1, 4, 16, 64].map((filled) => {
       const load = { running: filled * 16, readTokensPerSecond: 0 };
@@ -72,7 +72,7 @@
   });
 });
 
-describe("plan of servers", () => {
+describe("capacity plan", () => {
   test("carries the load with reclaimable servers and a reserve", () => {
     const halls = ["a", "b", "c", "d"].map((name) => hall(name, READY));
     const hallTargets = planCapacity(8, halls, LIMITS);
@@ -80,7 +80,7 @@
       (hallTarget) => hallTarget.reclaimable ?? 0,
     );
     expect(reclaimable.reduce((sum, count) => sum + count, 0)).toBe(15);
-    // Without the data hall that has most, a third more than needed is left.
+    // Without the data hall that has most, a third more than needed remains.
     const left = 15 - Math.max(...reclaimable);
     expect(left).toBeGreaterThanOrEqual(Math.floor((8 * 4) / 3));
     expect(Math.max(...reclaimable) - Math.min(...reclaimable)).toBe(1);
@@ -89,7 +89,7 @@
     ).toBe(true);
   });
 
-  test("after a reclaim, the other data halls carry its part", () => {
+  test("spreads the load over the other data halls after a reclaim", () => {
     const halls = [
       hall("a", { reclaimableSoldOut: true }),
       ...["b", "c", "d"].map((name) => hall(name, READY)),
@@ -99,11 +99,11 @@
     expect(
       hallTargets.slice(1).map((hallTarget) => hallTarget.reclaimable),
     ).toEqual([6, 5, 5]);
-    // Nine are left, six after the next reclaim, of seven that are to be left.
+    // Nine remain, and six after the next reclaim; seven have to remain.
     expect(minimumOnDemand(hallTargets)).toBe(1);
   });
 
-  test("orders most that are needed on demand before the last data hall is reclaimed", () => {
+  test("orders most servers on demand before the last data hall is reclaimed", () => {
     const halls = [
       ...["a", "b", "c"].map((name) =>
         hall(name, { reclaimableSoldOut: true }),
@@ -113,7 +113,7 @@
     expect(minimumOnDemand(planCapacity(6, halls, LIMITS))).toBe(5);
   });
 
-  test("orders some on demand where one data hall holds most of the others", () => {
+  test("orders some servers on demand if one data hall has all reclaimable ones", () => {
     const halls = [
       ...["a", "b", "c"].map((name) => hall(name)),
       hall("d", { reclaimableReady: 7, reclaimableExpected: 7 }),
@@ -122,7 +122,7 @@
     expect(minimumOnDemand(planCapacity(6, halls, LIMITS))).toBe(3);
   });
 
-  test("orders what the next reclaim would leave missing once none are to be had", () => {
+  test("orders what the next reclaim would take while all data halls are sold out", () => {
     const soldOut = { reclaimableSoldOut: true };
     const left = (counts: readonly number[]) =>
       ["a", "b", "c", "d"].map((name, index) => {
@@ -140,7 +140,7 @@
     expect(minimumFor([4, 0, 0, 0])).toBe(6);
   });
 
-  test("puts servers on demand into the two cheapest data halls, where they have room", () => {
+  test("puts servers on demand into the two cheapest data halls with headroom", () => {
     const halls = ["a", "b", "c", "d"].map((name) =>
       hall(name, { reclaimableSoldOut: true }),
     );
@@ -152,7 +152,7 @@
     expect(wished(17)).toEqual([3, 7, 0, 7]);
   });
 
-  test("keeps servers on demand until others are ready, and orders none that will not be needed", () => {
+  test("retains servers on demand until others are ready, and orders no unneeded ones", () => {
     const halls = ["a", "b"].map((name) =>
       hall(name, { onDemandReady: 3, reclaimableExpected: 5 }),
     );
@@ -165,7 +165,7 @@
     );
   });
 
-  test("covers the load wherever the limits allow, with any servers sold out", () => {
+  test("covers the load within the limits, with any data halls sold out", () => {
     const anyHall = fc
       .record({
         ready: fc.integer({ min: 0, max: 7 }),
--- a/packages/rampswitch-serving/src/duties/duty_keeper.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper.ts
@@ -2,7 +2,7 @@
 
 /**
  * Takes, renews and gives up the lease of the duties, and lets the duties act
- * while it holds.
+ * while this host holds it.
  *
  * @module
  */
@@ -34,30 +34,36 @@
 import { decodeLease, encodeLease } from "./lease_codec.ts";
 import type { IncarnationCounts } from "./usage_counter.ts";
 
-/** Time between looks at the lease, in milliseconds. */
+/** Time between checks of the lease, in milliseconds. */
 const LEASE_CHECK_INTERVAL_MILLISECONDS = 250;
 
-/** Wait before another look after a failed call to the store. */
+/**
+ * Wait before the next check after a failed call to the store, in milliseconds.
+ */
 const STORE_RETRY_MILLISECONDS = 500;
 
-/** Spread of the first looks of candidates, in milliseconds. */
+/** Maximum random delay of a candidate's check, in milliseconds. */
 const CANDIDATE_JITTER_MILLISECONDS = 400;
 
-/** What the keeper asks of the duties. */
+/** The duties as the keeper calls them. */
 export interface Duties {
-  /** What is final from now on: all that was, and what has become so. */
+  /**
+   * Returns the final usage: all that was final, and all that has become so.
+   */
   finalUsage(known: FinalUsage): FinalUsage;
-  /** Counts to keep with the lease until they are final. */
+  /** Returns the counts to store with the lease until they are final. */
   openCounts(final: FinalUsage): IncarnationCounts;
-  /** Takes in counts that a former holder kept. */
+  /** Restores counts that a former holder stored. */
   restoreCounts(counts: IncarnationCounts): void;
-  /** Tells of what a renewal has surely stored in place of what was before. */
+  /**
+   * Notifies of usage that a renewal has certainly stored in place of `before`.
+   */
   onStored(final: FinalUsage, before: FinalUsage): void;
   /** Acts under the fence; `reports` are in the store. */
   perform(reports: FinalReports, fence: Fence): Promise<void>;
 }
 
-/** What the keeper works with. */
+/** Parts that the keeper works with. */
 export interface DutyKeeperParts {
   readonly host: string;
   readonly incarnation: string;
@@ -65,18 +71,21 @@
   /** Key of the lease object. */
   readonly leaseKey: string;
   readonly times: LeaseTimes;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
   /**
-   * A clock by which no renewal is too young, also after a suspension. It may run
-   * ahead, so that others' leases must not be timed by it.
+   * A clock that never shows a renewal as too young, also after a suspension.
+   * It may run ahead, so it must not time the leases of others.
    */
   readonly cautiousClock: Clock;
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
   readonly duties: Duties;
-  /** Whether this host hears enough of the others to hold the duties. */
+  /**
+   * Whether this host receives enough of the others' updates to hold the
+   * duties.
+   */
   isEligible(): boolean;
 }
 
@@ -89,7 +98,7 @@
   lastRenewal: number;
   /** On the cautious clock, as {@link sentAtByRenewal}. */
   renewalSentAt: number;
-  /** On the steady clock. */
+  /** On the monotonic clock. */
   readonly canActAt: number;
 }
 
@@ -99,7 +108,9 @@
   readonly #repetition: Repetition;
   #held: HeldLease | undefined;
   #observed: ObservedLease;
-  /** The newest lease that could be read; another writer may spoil the object. */
+  /**
+   * The newest readable lease; another writer may make the object unreadable.
+   */
   #lastRead: DutyLease | undefined;
   /** When a lease of each fence was first written. */
   readonly #takeSentAt = new Map<number, number>();
@@ -107,7 +118,7 @@
   #isStopping = false;
   /** Fence that this host gave up. */
   #releasedFence: number | undefined;
-  /** Highest fence that a peer told to have given up. */
+  /** Highest fence that a peer reported to have given up. */
   #receivedReleasedFence = -1;
   #isPerforming = false;
   #wasRestored = false;
@@ -130,7 +141,7 @@
     return { era: this.#parts.store.era, wasRestored: this.#wasRestored };
   }
 
-  /** The lease to tell the peers about, while this host holds it. */
+  /** The lease to report to the peers: held by this host, or given up by it. */
   get leaseUpdate(): LeaseNews | undefined {
     const held = this.#held;
     if (held !== undefined) {
@@ -141,7 +152,7 @@
       : { fence: this.#releasedFence, version: RELEASED_LEASE_VERSION };
   }
 
-  /** Takes in a holder's news. */
+  /** Receives a holder's update about its lease. */
   receiveLease(update: LeaseNews): void {
     const now = this.#parts.clock.now();
     if (update.version === RELEASED_LEASE_VERSION) {
@@ -209,7 +220,7 @@
     if (decision.kind === "take") await this.#take(decision.canActAt);
   }
 
-  /** Compares the object with what was last seen of it. */
+  /** Compares the object with its last observed version. */
   #observe(object: StoredObject | undefined): void {
     const now = this.#parts.clock.now();
     const lease = decodeLease(object?.value);
@@ -242,7 +253,7 @@
     const version = put.isOk
       ? put.value.version
       : await this.#versionIfOwnLease(lease);
-    // A fence is good in its era alone.
+    // A fence is valid only in its era.
     if (version === undefined || eraOf(version) !== lease.era) {
       this.#nextCheckAt = clock.now() + STORE_RETRY_MILLISECONDS;
       return;
@@ -267,7 +278,9 @@
     });
   }
 
-  /** Whether a write without a clear answer took effect after all. */
+  /**
+   * Returns the version of a write without a clear answer, if it took effect.
+   */
   async #versionIfOwnLease(lease: DutyLease): Promise<number | undefined> {
     const read = await this.#parts.store.get(this.#parts.leaseKey);
     if (read.isErr || read.value === undefined) return undefined;
@@ -312,9 +325,10 @@
   }
 
   /**
-   * Reads the object back after a renewal without a clear answer. What it holds
-   * may be an earlier renewal that took effect late; others count from then, so
-   * this host counts from when that one was sent.
+   * Reads the object back after a renewal without a clear answer. The object
+   * may hold an earlier renewal that took effect late. Other hosts count the
+   * lease's time from then, so this host counts from when that renewal was
+   * sent.
    */
   async #reconcile(held: HeldLease): Promise<void> {
     const { store, leaseKey } = this.#parts;
@@ -338,9 +352,10 @@
   }
 
   /**
-   * Goes on from a copy of its own lease. While this host may act, nobody can have
-   * followed it; what it knows to be final is stored with the next renewal. Whoever
-   * follows it before that finds a lease of a former era.
+   * Continues from a copy of its own lease after a restore of the store. While
+   * this host may act, no other host can have taken the lease. What this host
+   * knows to be final is stored with the next renewal. A host that takes the
+   * lease before that finds a lease of a former era.
    */
   #continueInEra(held: HeldLease, copy: DutyLease, version: number): void {
     const { cautiousClock, times, metrics } = this.#parts;
@@ -404,7 +419,7 @@
     return held !== undefined && canAct(held, { now, renewalAge, times });
   }
 
-  /** Whether a call of the duties may be sent at this moment. */
+  /** Whether a call of the duties may be sent now. */
   get canAct(): boolean {
     return this.#canActNow();
   }
@@ -414,15 +429,15 @@
   }
 }
 
-/** Store version that tells the peers that the lease was given up. */
+/** Store version that reports to the peers that the lease was given up. */
 const RELEASED_LEASE_VERSION = -1;
 
-/** The ranges of final windows, for the log. */
+/** Formats the ranges of final windows for the log. */
 function formatRanges({ windows }: FinalUsage): string {
   return windows.map(([first, last]) => `${first}-${last}`).join(",");
 }
 
-/** What a host knew of the lease object that it took over, for the log. */
+/** Describes the lease object that a host took over, for the log. */
 function formerLeaseState({ lease, version }: ObservedLease): string {
   if (lease !== undefined) return "read";
   return version === undefined ? "none" : "unreadable";
--- a/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
@@ -19,7 +19,7 @@
   afterRelease: 3_000,
 };
 
-/** Time in which holders must not act in the order A, B, A; milliseconds. */
+/** Time in which holders must not act in the order A, B, A; in milliseconds. */
 const ALTERNATION_MILLISECONDS = 3_000;
 
 const STEP_MILLISECONDS = 50;
@@ -29,7 +29,7 @@
 const STOP_MILLISECONDS = 1_000;
 const HOSTS = ["a", "b", "c"];
 
-/** Duties with nothing to do. */
+/** Duties that do nothing. */
 const IDLE_DUTIES: Duties = {
   finalUsage: (known) => known,
   openCounts: () => ({}),
@@ -45,15 +45,13 @@
 }
 
 /**
- * Plays some minutes of three hosts with faults drawn from a seed; another writer
- * spoils the lease after each so many steps.
+ * Simulates three hosts with faults drawn from a seed. Another writer corrupts the
+ * lease after every `corruptionSteps` steps.
  */
 async function simulate(
   seed: number,
   times: LeaseTimes = TIMES,
-  {
-    spoilSteps: corruptionSteps = Infinity,
-  }: { readonly spoilSteps?: number } = {},
+  { corruptionSteps = Infinity }: { readonly corruptionSteps?: number } = {},
 ): Promise<readonly Act[]> {
   const clock = new ManualClock(1_000);
   const random = seededRandom(seed);
@@ -121,7 +119,7 @@
         store.isReachable = !store.isReachable;
       },
       () => restart(host),
-      // Planned stops come in series; these hit the holder.
+      // Planned stops come in series; these affect the holder.
       () => restart(holderOf(keepers) ?? host),
       () => restart(holderOf(keepers) ?? host),
       () => restart(holderOf(keepers) ?? host),
@@ -132,7 +130,9 @@
   return acts;
 }
 
-/** A holder whose time of day goes on beside its steady clock. */
+/**
+ * Creates a holder whose time of day can advance beyond its monotonic clock.
+ */
 async function suspendableHolder(): Promise<{
   readonly clock: ManualClock;
   readonly store: LeaseStore;
@@ -167,7 +167,7 @@
   for (let round = 0; round < 12; round += 1) await Promise.resolve();
 }
 
-describe("a holder that was suspended", () => {
+describe("a suspended holder", () => {
   test("does not act before it has renewed its lease", async () => {
     const { clock, store, keeper, suspension } = await suspendableHolder();
     store.isReachable = false;
@@ -181,7 +181,7 @@
   });
 });
 
-/** The host that tells of holding the lease. */
+/** Returns the host that reports to hold the lease. */
 function holderOf(
   keepers: ReadonlyMap<string, DutyKeeper>,
 ): string | undefined {
@@ -203,14 +203,14 @@
   });
 }
 
-/** Acts that come with a lower fence than one before them. */
+/** Returns the acts with a lower fence than an act before them. */
 function staleActs(acts: readonly Act[]): readonly Act[] {
   return acts.filter((act, index) =>
     acts.slice(0, index).some((before) => before.fence > act.fence),
   );
 }
 
-/** Acts that end an A, B, A within the time in which none may. */
+/** Returns the acts that end an order A, B, A within the forbidden time. */
 function alternations(acts: readonly Act[]): readonly Act[] {
   const holderChanges = acts.filter(
     (act, index) => acts[index - 1]?.holder !== act.holder,
@@ -228,7 +228,7 @@
 
 const SEEDS = Array.from({ length: 40 }, (_, index) => index + 1);
 
-/** The days of all seeds under the rules in force. */
+/** The simulations of all seeds under the rules in force. */
 const SIMULATED = Promise.all(SEEDS.map((seed) => simulate(seed)));
 
 describe("lease of the duties", () => {
@@ -238,18 +238,18 @@
     expect(played.every((acts) => acts.length > 20)).toBe(true);
   });
 
-  test("holders do not alternate within the lease's time", async () => {
+  test("holders do not alternate within the lease's duration", async () => {
     const played = await SIMULATED;
     expect(played.flatMap(alternations)).toEqual([]);
   });
 
-  test("one fence never has two holders", async () => {
+  test("a fence never has two holders", async () => {
     const acts = (await SIMULATED).flatMap((all, index) =>
-      all.map((act) => ({ ...act, day: index })),
+      all.map((act) => ({ ...act, simulation: index })),
     );
     const holders = new Map<string, string>();
-    const shared = acts.filter(({ day, fence, holder }) => {
-      const key = `${day}/${fence}`;
+    const shared = acts.filter(({ simulation: simulation, fence, holder }) => {
+      const key = `${simulation}/${fence}`;
       const known = holders.get(key) ?? holder;
       holders.set(key, known);
       return known !== holder;
@@ -257,30 +257,32 @@
     expect(shared).toEqual([]);
   });
 
-  // A lease that could not be read counted as one that was never taken, so that
-  // its fence began at 1 again: of 40 days, 38 had acts below a fence before them.
-  test("no holder acts below a fence after another writer spoilt the lease", async () => {
-    const options = { spoilSteps: 150 };
+  // Guards against low fences after a lease that can't be read. Such a lease
+  // counted as one that was never taken, so its fence began at 1 again. Of 40
+  // simulations, 38 had acts below an earlier fence.
+  test("no holder acts below a fence after another writer corrupted the lease", async () => {
+    const options = { corruptionSteps: 150 };
     const played = await Promise.all(
       SEEDS.map((seed) => simulate(seed, TIMES, options)),
     );
     expect(played.map(staleActs).filter((acts) => acts.length > 0)).toEqual([]);
     expect(played.flatMap(alternations)).toEqual([]);
-    // Nobody acts for the lease's time after each of eight spoilt leases.
+    // No host acts for the lease's duration after each of eight corrupted
+    // leases.
     expect(played.every((acts) => acts.length > 10)).toBe(true);
   });
 
   test.each([
-    ["acts longer than others wait", { ...TIMES, acting: 9_000 }],
+    ["a holder acts longer than others wait", { ...TIMES, acting: 9_000 }],
     ["others take a lease too early", { ...TIMES, duration: 500 }],
-  ])("a wrong rule is found: a holder %s", async (_name, times) => {
+  ])("detects a wrong rule: %s", async (_name, times) => {
     const played = await Promise.all(
       SEEDS.map((seed) => simulate(seed, times)),
     );
     expect(played.flatMap(staleActs).length).toBeGreaterThan(0);
   });
 
-  test("a wrong rule is found: acting at once on a lease given up", async () => {
+  test("detects a wrong rule: a holder acts at once on a lease given up", async () => {
     const times = { ...TIMES, afterRelease: 0 };
     const played = await Promise.all(
       SEEDS.map((seed) => simulate(seed, times)),
--- a/packages/rampswitch-serving/src/duties/duty_lease.ts
+++ b/packages/rampswitch-serving/src/duties/duty_lease.ts
@@ -1,10 +1,11 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The lease of the duties: decisions without store or clock. One object in the
- * store names the holder; its fence rises with each holder. No host compares
- * clocks: who watches counts from when it saw the object change, and the holder
- * counts from when it sent its last successful renewal.
+ * Decisions about the lease of the duties, without store or clock. One object
+ * in the store names the holder; its fence rises with each holder. Hosts never
+ * compare their clocks: other hosts count from when they observed a change of
+ * the object, and the holder counts from when it sent its last successful
+ * renewal.
  *
  * @module
  */
@@ -16,21 +17,21 @@
 /** Value of the lease object. */
 export interface DutyLease {
   readonly holder: string;
-  /** Life of the holder's process. */
+  /** Incarnation of the holder's process. */
   readonly incarnation: string;
   readonly fence: number;
   /** Era of the store in which it was written. */
   readonly era: number;
   /**
-   * Counts renewals. A write that changes nothing raises no version in the
-   * store, so without it a renewal could not be seen.
+   * Counts renewals. A write that changes nothing does not raise the version in
+   * the store, so without this counter other hosts could not observe a renewal.
    */
   readonly renewals: number;
   /** Whether the holder gave the lease up. */
   readonly released: boolean;
-  /** Counts of windows that are not final, by life of a process. */
+  /** Counts of windows that are not final, by incarnation. */
   readonly counts: IncarnationCounts;
-  /** Usage that is final; its windows stay so in every later lease. */
+  /** Usage that is final; its windows stay final in every later lease. */
   readonly final: FinalUsage;
 }
 
@@ -45,28 +46,28 @@
   readonly afterRelease: number;
 }
 
-/** The lease object as last seen. */
+/** The lease object as last observed. */
 export interface ObservedLease {
   readonly lease: DutyLease | undefined;
   /** Store version; `undefined` while there is no object. */
   readonly version: number | undefined;
-  /** When this version was first seen, on the steady clock. */
+  /** When this version was first observed, on the monotonic clock. */
   readonly since: number;
 }
 
-/** What a host knows of the store's history. */
+/** What a host knows about the history of the store. */
 export interface StoreHistory {
   readonly era: number;
-  /** Whether it came back from a copy since this host started. */
+  /** Whether it was restored from a copy since this host started. */
   readonly wasRestored: boolean;
 }
 
-/** The newest era of a store that has never come back from a copy. */
+/** Era of a store that was never restored from a copy. */
 const FIRST_ERA = 1;
 
 /**
- * Whether leases may have followed the one that is seen, or none, which are lost: the
- * store has come back from a copy since.
+ * Whether later leases than the observed one, or than none, may have existed
+ * and been lost, because the store was restored from a copy since.
  */
 export function isPossiblySuperseded(
   { lease }: ObservedLease,
@@ -96,7 +97,7 @@
   const decision = decideTakeInEra(observed, self, { now, times });
   if (decision.kind === "wait" || !isPossiblySuperseded(observed, history))
     return decision;
-  // Whoever holds a lease that is lost goes on for as long as it lasts.
+  // The holder of a lost lease continues until its lease expires.
   const canActAt = Math.max(decision.canActAt, now + times.duration);
   return { kind: "take", canActAt };
 }
@@ -109,14 +110,14 @@
   const { now, times } = options;
   const { lease } = observed;
   if (lease === undefined) {
-    // Whoever held a lease that was spoilt since may still act.
+    // The holder of a lease that was corrupted since may still act.
     return observed.version === undefined ||
       now - observed.since >= times.duration
       ? { kind: "take", canActAt: now }
       : { kind: "wait" };
   }
   if (lease.holder === self.host) {
-    // A former process of this host is gone; its fence is never used again.
+    // A former process of this host has ended; its fence is never used again.
     return { kind: "take", canActAt: now };
   }
   if (lease.released) {
@@ -128,10 +129,10 @@
 }
 
 /**
- * The lease that a host writes to become its holder, from the newest that it read.
- * Each new fence is written at a later position in the store, so that no fence of
- * before lies above the position of an object that can't be read, nor above the
- * first one of an era.
+ * Returns the lease that a host writes to become the holder, from the newest
+ * lease that it read. The store's position rises with each new fence. Earlier
+ * fences therefore can't exceed the position of an object that can't be read,
+ * nor the first position of a later era, and the new fence lies above both.
  */
 export function newLease(
   observed: ObservedLease,
@@ -158,7 +159,7 @@
     renewals: 0,
     released: false,
     counts: former?.counts ?? {},
-    // What was final in a lease that is lost may have been reported.
+    // Windows that were final in a lost lease may have been reported.
     final:
       isUnreadable || isPossiblySuperseded(observed, history)
         ? { ...final, incomplete: true }
@@ -171,7 +172,7 @@
   held: { readonly canActAt: number },
   options: {
     readonly now: number;
-    /** Time since the last renewal that took effect was sent, at least. */
+    /** Minimum time since the last renewal that took effect was sent. */
     readonly renewalAge: number;
     readonly times: LeaseTimes;
   },
--- a/packages/rampswitch-serving/src/duties/final_usage.ts
+++ b/packages/rampswitch-serving/src/duties/final_usage.ts
@@ -1,9 +1,10 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which windows' usage is final. A window that was final once is never counted
- * again, so the set of final windows only grows, whatever any clock says. It is kept
- * as ranges of window numbers: windows follow each other, so that there are few.
+ * Tracks the windows whose usage is final. A window that was once final is
+ * never counted again, so the set of final windows only grows, whatever any
+ * clock shows. It is stored as ranges of window numbers. Windows follow each
+ * other, so there are few ranges.
  *
  * @module
  */
@@ -15,13 +16,15 @@
 /** Windows from the first to the last one, both included. */
 export type WindowRange = readonly [first: number, last: number];
 
-/** Usage that is final, as the lease object holds it. */
+/** Final usage as the lease object holds it. */
 export interface FinalUsage {
-  /** Reports that the next holder sends again; those of the newest windows. */
+  /** Reports of the newest windows, which the next holder sends again. */
   readonly reports: FinalReports;
-  /** All windows that are final: ranges that rise and don't touch. */
+  /** All final windows, as rising ranges that don't touch. */
   readonly windows: readonly WindowRange[];
-  /** Whether other windows may be final too, since a lease could not be read. */
+  /**
+   * Whether other windows may be final too, since a lease could not be read.
+   */
   readonly incomplete: boolean;
 }
 
@@ -33,12 +36,13 @@
 };
 
 /**
- * Ranges that are kept apart. Only windows that no host reported leave gaps, one for
- * each outage; and each needs some 25 bytes in the lease object.
+ * Maximum number of separate ranges. Only windows that no host reported leave
+ * gaps, one for each outage, and each range needs some 25 bytes in the lease
+ * object.
  */
 const MAXIMUM_RANGES = 32;
 
-/** What is final by either of two leases. */
+/** Returns the usage that is final in either of two leases. */
 export function mergeFinalUsage(
   one: FinalUsage = NO_FINAL_USAGE,
   other: FinalUsage = NO_FINAL_USAGE,
@@ -55,7 +59,9 @@
   return windows.some(([first, last]) => window >= first && window <= last);
 }
 
-/** Whether the lease object should hold a state at once in place of another. */
+/**
+ * Whether the lease object should be updated at once, before a renewal is due.
+ */
 export function shouldStoreAtOnce(
   final: FinalUsage,
   before: FinalUsage,
@@ -69,8 +75,8 @@
 }
 
 /**
- * Ranges with more windows. Where there are too many, the lowest ones are joined:
- * the windows between them are the oldest, and are never reported.
+ * Adds windows to ranges. If there are too many ranges, the lowest ones are
+ * joined: the windows between them are the oldest, and are never reported.
  */
 export function mergeWindows(
   ranges: readonly WindowRange[],
@@ -89,8 +95,9 @@
 }
 
 /**
- * Final usage of a lease that a former program wrote. It let older windows go, so
- * that all up to the newest one that it names may have been reported.
+ * Returns the final usage of a lease that an earlier version of the program
+ * wrote. That version dropped older windows, so all up to the newest one in the
+ * lease may have been reported.
  */
 export function finalUsageFromReports(reports: FinalReports): FinalUsage {
   const newest = Math.max(...Object.keys(reports).map(Number));
--- a/packages/rampswitch-serving/src/duties/final_usage_test.ts
+++ b/packages/rampswitch-serving/src/duties/final_usage_test.ts
@@ -29,8 +29,8 @@
   );
 }
 
-describe("windows that are final", () => {
-  test("stay so, whatever others are added and in whichever order", () => {
+describe("final windows", () => {
+  test("stay final, whichever windows are added in whichever order", () => {
     fc.assert(
       fc.property(additions, (ranges) => {
         const windows = addAll(ranges);
@@ -42,7 +42,7 @@
     );
   });
 
-  test("take little room, and leave those above the gaps alone", () => {
+  test("need few ranges, and do not include windows above the highest", () => {
     fc.assert(
       fc.property(additions, (ranges) => {
         const windows = addAll(ranges);
@@ -56,7 +56,7 @@
     );
   });
 
-  test("far ahead close none of those between", () => {
+  test("that are far ahead do not make the windows between final", () => {
     const windows = addAll([
       [100, 105],
       [820, 820],
@@ -68,7 +68,7 @@
     ]);
   });
 
-  test("are all up to the newest report of a former version's lease", () => {
+  test("are all up to the newest report in a lease of an earlier version", () => {
     const final = finalUsageFromReports({ 98: {}, 100: { w: 3 } });
     expect([7, 98, 99, 100, 101].map((one) => isFinal(final, one))).toEqual([
       true,
--- a/packages/rampswitch-serving/src/duties/host_duties.ts
+++ b/packages/rampswitch-serving/src/duties/host_duties.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The duties of one host put together: their lease, usage reports and orders of
+ * Assembles the duties of one host: their lease, usage reports and orders of
  * servers, and the calls to the cloud that the lease guards.
  *
  * @module
@@ -29,9 +29,9 @@
 import { type TimeOfDay, UsageDuty } from "./usage_duty.ts";
 
 /**
- * Times of the lease beside its own bound, in milliseconds: a holder acts for
- * two renewals after one that was taken, and others wait a second longer than
- * any of its calls may last.
+ * Times of the lease beside its own bound, in milliseconds. A holder acts for
+ * two renewals after one that took effect. Others wait a second longer than any
+ * of its calls may last.
  */
 const LEASE_TIMES: Omit<LeaseTimes, "afterRelease"> = {
   duration: 3_500,
@@ -39,10 +39,10 @@
   renewal: 1_000,
 };
 
-/** Answer to a call of the duties after the lease has run out. */
+/** Answer to a call of the duties after the lease has expired. */
 const LEASE_EXPIRED: Result<void, CloudError> = Result.err("refused");
 
-/** What the duties of a host work with. */
+/** Parts that the duties of a host work with. */
 export interface HostDutiesParts {
   readonly host: string;
   readonly incarnation: string;
@@ -50,15 +50,17 @@
   /** Key of the lease object in the store. */
   readonly leaseKey: string;
   readonly cloud: Cloud;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
-  /** A clock by which no renewal is too young, also after a suspension. */
+  /**
+   * A clock that never shows a renewal as too young, also after a suspension.
+   */
   readonly cautiousClock: Clock;
   /** Time of day of this host, in milliseconds. */
   readonly wallTime: () => number;
-  /** Time of day on which the hosts agree, in milliseconds. */
+  /** Fleet time of day, in milliseconds. */
   readonly agreedWallTime: () => number;
-  /** Whether enough hosts are heard for the agreed time to be relied on. */
+  /** Whether updates of enough hosts are received to rely on the fleet time. */
   readonly isTimeSettled: () => boolean;
   readonly random: Random;
   readonly logger: Logger;
@@ -66,24 +68,30 @@
   readonly directory: ServerDirectory;
   readonly dataHalls: readonly string[];
   readonly usageWindowMilliseconds: number;
-  /** Shortest time between acts of one holder, another, and the first again. */
+  /**
+   * Minimum time between acts of one holder, another, and the first again, in
+   * milliseconds.
+   */
   readonly leaseMilliseconds: number;
   readonly rollouts: Rollouts;
-  /** Stores states of roll-outs that are due, and follows their orders. */
+  /** Stores states of roll-outs that are due, and follows their specs. */
   readonly rolloutStore: Pick<RolloutStore, "follow" | "store">;
-  /** Lives of the other hosts that are present. */
+  /** Incarnations of the other hosts that are present. */
   lives(): readonly string[];
-  /** Load of a service over all hosts. */
+  /** Returns the load of a service over all hosts. */
   load(service: string): ServiceLoad;
-  /** Time for which a request of a service holds a place, in milliseconds. */
+  /** Time for which a request of a service holds a slot, in milliseconds. */
   holdMilliseconds(service: string): number;
-  /** Requests a second that a server takes, where it names a limit. */
+  /** Requests per second that a server accepts, if it advertises a limit. */
   limitOf(record: ServerRecord): number | undefined;
-  /** Whether no request has come since this host started. */
+  /** Whether no request has arrived since this host started. */
   idle(): boolean;
-  /** The configuration, once the servers are known too. */
+  /** The configuration, once the servers are listed too. */
   routes(): RouteIndex | undefined;
-  /** Whether this host hears enough of the others to hold the duties. */
+  /**
+   * Whether this host receives enough of the others' updates to hold the
+   * duties.
+   */
   eligible(): boolean;
 }
 
@@ -93,10 +101,10 @@
   readonly #ownership = new Ownership();
   readonly #usageDuty: UsageDuty;
   readonly #capacity: CapacityDuty;
-  /** On the steady clock. */
+  /** On the monotonic clock. */
   readonly #startedAt: number;
   #keeper: DutyKeeper | undefined;
-  /** Requests that began to run, of this host and as peers tell. */
+  /** Requests that began to run at this host, and at peers as they report. */
   readonly usage: UsageCounter;
 
   constructor(parts: HostDutiesParts) {
@@ -122,7 +130,7 @@
     });
   }
 
-  /** Begins to look at the lease. */
+  /** Begins to check the lease. */
   start(): void {
     const incarnationKey = `${this.#parts.host}/${this.#parts.incarnation}`;
     const { agreedWallTime, leaseMilliseconds } = this.#parts;
@@ -148,7 +156,7 @@
     );
   }
 
-  /** The lease to tell the peers about, while this host holds it. */
+  /** The lease to report to the peers: held by this host, or given up by it. */
   get lease(): LeaseNews | undefined {
     return this.#keeper?.leaseUpdate;
   }
@@ -158,7 +166,7 @@
     return this.#keeper?.canAct === true;
   }
 
-  /** Takes in a holder's news. */
+  /** Receives a holder's update about its lease. */
   heard(lease: LeaseNews): void {
     this.#keeper?.receiveLease(lease);
   }
@@ -168,7 +176,10 @@
     await this.#keeper?.release();
   }
 
-  /** A reclaimable server was announced to leave; `left` are still ready. */
+  /**
+   * Records an announced reclaim of a reclaimable server; `left` are still
+   * ready.
+   */
   reclaimableLeaves(service: string, dataHall: string, left: number): void {
     const now = this.#parts.clock.now();
     this.#capacity.recordAnnouncedReclaim(service, dataHall, {
--- a/packages/rampswitch-serving/src/duties/lease_codec.ts
+++ b/packages/rampswitch-serving/src/duties/lease_codec.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The form of the lease object in the store. Hosts of a former version read it too:
- * what is new stands under keys that they pass over.
+ * Encodes and decodes the lease object in the store. Hosts of an earlier
+ * version read it too, so new fields have keys that they ignore.
  *
  * @module
  */
@@ -27,10 +27,12 @@
   incomplete: z.boolean().optional(),
 });
 
-/** Era of a lease that names none, as a former program wrote it. */
+/**
+ * Era of a lease without one, as an earlier version of the program wrote it.
+ */
 const UNKNOWN_ERA = 0;
 
-/** The value of the lease object. */
+/** Encodes the value of the lease object. */
 export function encodeLease({ final, ...lease }: DutyLease): string {
   const { reports, windows, incomplete } = final;
   return JSON.stringify({
@@ -41,7 +43,7 @@
   });
 }
 
-/** The lease in a value; `undefined` where it is none. */
+/** Decodes a lease; `undefined` if the value is not a valid one. */
 export function decodeLease(value: string | undefined): DutyLease | undefined {
   if (value === undefined) return undefined;
   const parsed = parseJson(value);
--- a/packages/rampswitch-serving/src/duties/lease_codec_test.ts
+++ b/packages/rampswitch-serving/src/duties/lease_codec_test.ts
@@ -22,13 +22,13 @@
   },
 };
 
-describe("a lease in the store", () => {
-  test.each([true, false])("comes out as it went in", (incomplete) => {
+describe("a stored lease", () => {
+  test.each([true, false])("decodes to the encoded lease", (incomplete) => {
     const lease = { ...LEASE, final: { ...LEASE.final, incomplete } };
     expect(decodeLease(encodeLease(lease))).toEqual(lease);
   });
 
-  test("has what a host of a former version reads, where it looks for it", () => {
+  test("has the fields that a host of an earlier version reads", () => {
     const { final, ...rest } = LEASE;
     expect(JSON.parse(encodeLease(LEASE))).toMatchObject({
       ...rest,
@@ -36,7 +36,7 @@
     });
   });
 
-  test("of a host of a former version may have lost older final windows", () => {
+  test("of an earlier version counts all older windows as final", () => {
     const { final, ...rest } = LEASE;
     const former = JSON.stringify({ ...rest, reports: final.reports });
     expect(decodeLease(former)?.final.windows).toEqual([[0, 100]]);
@@ -46,10 +46,10 @@
     undefined,
     "",
     "{}",
-    "spoilt",
+    "corrupt",
     JSON.stringify({ ...JSON.parse(encodeLease(LEASE)), finalWindows: [[1]] }),
     JSON.stringify({ ...JSON.parse(encodeLease(LEASE)), fence: "7" }),
-  ])("is none where anything is wrong: %s", (value) => {
+  ])("is not decoded if it is malformed: %s", (value) => {
     expect(decodeLease(value)).toBeUndefined();
   });
 });
--- a/packages/rampswitch-serving/src/duties/lease_store_standin.ts
+++ b/packages/rampswitch-serving/src/duties/lease_store_standin.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Stand-in of the store as the duties' lease meets it, for simulated time.
+ * Stand-in of the store that holds the lease of the duties, for simulated time.
  *
  * @module
  */
@@ -18,25 +18,29 @@
   type StoreError,
 } from "rampswitch-store";
 
-/** Longest time after which a write without an answer takes effect, in milliseconds. */
+/**
+ * Maximum time until a write without an answer takes effect, in milliseconds.
+ */
 const MAXIMUM_LATE_WRITE_MILLISECONDS = 4_000;
 
-/** Changes that copies may be made of. */
+/** Number of past changes from which a copy can be taken. */
 const RETAINED_CHANGES = 200;
 
-/** A store of one object whose answers may be lost or writes come late. */
+/** A store of one object that may lose answers and apply writes late. */
 export class LeaseStore {
   isReachable = true;
   losesAnswers = false;
-  /** Changes each value on its way into the store, as a wrong program would. */
+  /** Changes each value that is written, as a faulty program would. */
   alterWritten: (value: string) => string = (value) => value;
-  /** What is left of a value that another writer wrote over. */
-  corruptValue: (value: string) => string = () => "spoilt";
-  /** With a revision of its era as the version. */
+  /** Changes the stored value as another writer's overwrite would. */
+  corruptValue: (value: string) => string = () => "corrupt";
+  /** Its version is a revision of its era. */
   #object: StoredObject | undefined;
   #era = 1;
   #revision = 0;
-  /** What it held, since when, and the revision then. */
+  /**
+   * The object after each change, with the time and the revision of the change.
+   */
   #history: readonly {
     readonly at: number;
     readonly object: StoredObject | undefined;
@@ -51,7 +55,7 @@
     this.#random = random;
   }
 
-  /** Carries out writes whose time has come. */
+  /** Applies late writes that are due. */
   applyLateWrites(): void {
     const due = this.#lateWrites.filter(({ at }) => at <= this.#clock.now());
     this.#lateWrites = this.#lateWrites.filter(
@@ -60,7 +64,7 @@
     due.forEach(({ run }) => run());
   }
 
-  /** Writes over the object, as another writer might. */
+  /** Overwrites the object, as another writer might. */
   corrupt(): void {
     const known = this.#object;
     if (known === undefined) return;
@@ -70,7 +74,7 @@
     this.#recordChange();
   }
 
-  /** Comes back from a copy that is so old, in milliseconds. */
+  /** Restores the store from a copy of this age, in milliseconds. */
   restoreFromCopy(age: number): void {
     const then = this.#clock.now() - age;
     const copy = this.#history.findLast(({ at }) => at <= then);
@@ -81,7 +85,7 @@
     this.#recordChange();
   }
 
-  /** The store as one host reaches it. */
+  /** Returns the store as one host reaches it. */
   viewFor(isConnected: () => boolean): ObjectStore {
     const view = new EraView(() => this.#era);
     const noAnswer: Result<never, StoreError> = Result.err({
@@ -158,7 +162,7 @@
   }
 }
 
-/** The era as one host's answers tell it. */
+/** The era as one host derives it from its answers. */
 class EraView {
   readonly #current: () => number;
   readonly #listeners: ((change: EraChange) => void)[] = [];
@@ -173,7 +177,7 @@
     this.#listeners.push(listener);
   }
 
-  /** Takes an answer in; tells whether it was the first of its era. */
+  /** Updates the era on an answer; returns whether the era is new. */
   observe(): boolean {
     const from = this.era;
     const to = this.#current();
--- a/packages/rampswitch-serving/src/duties/mod.ts
+++ b/packages/rampswitch-serving/src/duties/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Work that one host does for all, under a lease in the store.
+ * Duties: work that one host does for all, under a lease in the store.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/duties/usage_counter.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter.ts
@@ -1,30 +1,30 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Requests that began to run, by reporting window and workspace: this host's
- * own and what peers tell of theirs.
+ * Counts requests that began to run, by reporting window and workspace: this
+ * host's own and those that peers report.
  *
  * @module
  */
 import type { WindowCounts } from "../membership/peer_news.ts";
 
-/** Windows kept after their end; longer than a takeover takes. */
+/** Number of windows retained after their end; longer than a takeover takes. */
 const RETAINED_WINDOWS = 5;
 
-/** Windows after which one may still be reported. */
+/** Number of windows after which a window may still be reported. */
 const LATE_REPORT_WINDOWS = 2;
 
 /** Counts of one window by workspace. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
-/** Counts by host and life of its process. */
+/** Counts by host and incarnation. */
 export type IncarnationCounts = Readonly<Record<string, WindowCounts>>;
 
 /** Usage as one host knows it. */
 export class UsageCounter {
   readonly #windowMilliseconds: number;
   #own: WindowCounts = {};
-  /** By host and life of its process. */
+  /** By host and incarnation. */
   readonly #peers = new Map<string, WindowCounts>();
 
   #droppedBefore = -Infinity;
@@ -33,7 +33,7 @@
     this.#windowMilliseconds = windowMilliseconds;
   }
 
-  /** The window of a time of day. */
+  /** Returns the window of a time of day. */
   windowOf(wallTime: number): number {
     return Math.floor(wallTime / this.#windowMilliseconds);
   }
@@ -56,12 +56,14 @@
     );
   }
 
-  /** Own counts of the newest windows, to tell the peers. */
+  /** Returns own counts of the newest windows, to report to the peers. */
   own(wallTime: number): WindowCounts {
     return newestWindows(this.#own, this.windowOf(wallTime));
   }
 
-  /** Takes in a peer's counts; each message tells all of them anew. */
+  /**
+   * Receives a peer's counts; each message repeats all counts of its windows.
+   */
   heard(peer: string, incarnation: string, counts: WindowCounts): void {
     this.#peers.set(`${peer}/${incarnation}`, {
       ...this.#peers.get(`${peer}/${incarnation}`),
@@ -70,8 +72,9 @@
   }
 
   /**
-   * Counts of windows that are not final, by life of a process, to keep in the store
-   * in case that all hosts end at once. Not those of far windows: clocks are near.
+   * Returns counts of windows that are not final, by incarnation. They are
+   * stored in case all hosts end at once. Counts of far windows are left out,
+   * since clocks differ little.
    */
   openCounts(
     self: string,
@@ -94,7 +97,7 @@
     );
   }
 
-  /** Takes in counts that the store kept, except those of this process. */
+  /** Restores counts from the store, except those of this process. */
   restore(storedCounts: IncarnationCounts, self: string): void {
     Object.entries(storedCounts)
       .filter(
@@ -111,7 +114,7 @@
     return Object.keys(this.total(window)).length > 0;
   }
 
-  /** Counts of a window over all hosts. */
+  /** Returns the counts of a window over all hosts. */
   total(window: number): UsageCounts {
     return [this.#own, ...this.#peers.values()]
       .flatMap((counts) => Object.entries(counts[window] ?? {}))
@@ -122,9 +125,9 @@
   }
 
   /**
-   * Forgets what others told of windows that are too old to be reported, once in each
-   * window. Every host calls it with each round of news: those that never hold the
-   * duties hear all counts too.
+   * Drops peers' counts of windows that are too old to be reported, once in
+   * each window. Every host calls it with each round of gossip, because hosts
+   * that never hold the duties receive all counts too.
    */
   forgetOld(wallTime: number): void {
     const oldest = this.windowOf(wallTime) - LATE_REPORT_WINDOWS;
--- a/packages/rampswitch-serving/src/duties/usage_counter_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter_test.ts
@@ -5,13 +5,14 @@
 
 const WINDOW_MILLISECONDS = 5_000;
 
-/** Windows of an hour. */
+/** Number of windows in an hour. */
 const WINDOWS = 720;
 
-describe("counts that a host hears and never reports", () => {
-  // They were dropped by the holder of the duties alone, so that at all other hosts
-  // they grew by 720 windows an hour for each host.
-  test("are forgotten once their windows are too old", () => {
+describe("counts that a host receives and never reports", () => {
+  // Guards against a memory leak. Only the holder of the duties dropped old
+  // counts, so at all other hosts they grew by 720 windows an hour for each
+  // host.
+  test("are dropped once their windows are too old", () => {
     const counter = new UsageCounter(WINDOW_MILLISECONDS);
     for (let window = 0; window < WINDOWS; window += 1) {
       counter.heard("peer", "1", { [window]: { w: 1 } });
@@ -24,7 +25,7 @@
   });
 });
 
-describe("counts to keep in the store", () => {
+describe("counts to store with the lease", () => {
   test("are those of near windows that are not final", () => {
     const counter = new UsageCounter(WINDOW_MILLISECONDS);
     counter.heard("peer", "1", { 98: { w: 1 }, 99: { w: 2 }, 900: { w: 3 } });
--- a/packages/rampswitch-serving/src/duties/usage_duty.ts
+++ b/packages/rampswitch-serving/src/duties/usage_duty.ts
@@ -2,7 +2,7 @@
 
 /**
  * Reports usage once for each window. The counts of a window become final when
- * the lease object holds them; only then are they sent, so that a successor can
+ * the lease object holds them. They are sent only then, so that a successor can
  * only repeat them.
  *
  * @module
@@ -19,18 +19,21 @@
 import type { UsageCounts, UsageCounter } from "./usage_counter.ts";
 
 /**
- * Time after a window's end before its counts are final, in milliseconds. Some
- * exchanges of peer news, one of them lost, and a median clock's error.
+ * Time after a window's end until its counts become final, in milliseconds. It
+ * covers some exchanges of gossip, one of them lost, and the error of a median
+ * clock.
  */
 export const SETTLING_DELAY_MILLISECONDS = 1_500;
 
-/** Windows whose reports may still be of use; the rest came too late. */
+/**
+ * Number of windows whose reports may still be of use; older ones are too late.
+ */
 const REPORTED_WINDOWS = 3;
 
 /**
- * Largest difference of two hosts' agreed times of day, in milliseconds: the
- * platform's own bound on clocks. By a clock so far ahead a window may have been
- * final in a lease that can't be read.
+ * Maximum difference between two hosts' fleet times of day, in milliseconds:
+ * the platform's own bound on clocks. A lease that can't be read may hold final
+ * windows of a clock that is this far ahead.
  */
 const MAXIMUM_SKEW_MILLISECONDS = 5_000;
 
@@ -38,15 +41,15 @@
 export interface TimeOfDay {
   /** By its own clock. */
   readonly own: number;
-  /** On which the hosts agree. */
+  /** The fleet time. */
   readonly fleet: number;
-  /** The same when this process started. */
+  /** The fleet time when this process started. */
   readonly startedAt: number;
-  /** Whether the agreed time may be relied on. */
+  /** Whether the fleet time is reliable. */
   readonly isSettled: boolean;
 }
 
-/** Digits that tell the counts of two reports apart in the log. */
+/** Number of digits that distinguish the counts of two reports in the log. */
 const DIGEST_LENGTH = 8;
 
 /** The duty of reporting usage, for as long as this host holds it. */
@@ -73,11 +76,12 @@
   }
 
   /**
-   * What is final: all that was, and the windows that have ended since. No clock
-   * takes a window out again: its report may have been sent.
+   * Returns the final usage: all that was final, and the windows that have
+   * ended since. No clock can remove a window again: its report may have been
+   * sent.
    */
   finalUsage(known: FinalUsage, time: TimeOfDay): FinalUsage {
-    // A process that knows its own clock alone might end windows by a wrong one.
+    // A process that knows only its own clock might end windows by a wrong one.
     if (!time.isSettled) return known;
     const complete = known.incomplete
       ? this.#complete(known, time.fleet)
@@ -109,13 +113,15 @@
     };
   }
 
-  /** Makes all windows final that may have been in a lease that can't be read. */
+  /**
+   * Makes all windows final that may be final in a lease that can't be read.
+   */
   #complete(known: FinalUsage, fleetTime: number): FinalUsage {
     const last = this.#counter.windowOf(fleetTime + MAXIMUM_SKEW_MILLISECONDS);
     return { ...known, windows: mergeWindows(known.windows, [[0, last]]) };
   }
 
-  /** Tells what has become final, now that the lease object holds it. */
+  /** Logs usage that has become final, now that the lease object holds it. */
   logStored(final: FinalUsage, before: FinalUsage, time: TimeOfDay): void {
     if (before.incomplete && !final.incomplete) {
       this.#metrics.event("usage_not_known");
@@ -136,7 +142,9 @@
       );
   }
 
-  /** Sends reports that the lease object holds and the cloud has not taken. */
+  /**
+   * Sends reports that the lease object holds and the cloud has not accepted.
+   */
   async sendReports(reports: FinalReports, fence: Fence): Promise<void> {
     if (fence.fence !== this.#fence) {
       this.#fence = fence.fence;
@@ -173,8 +181,8 @@
 }
 
 /**
- * Reports that a next holder may still have to send: also some that a clock which is
- * ahead made final.
+ * Returns the reports that a successor may still have to send, also those that
+ * a clock that is ahead made final.
  */
 function reportsToRepeat(reports: FinalReports, newest: number): FinalReports {
   const isNear = (window: number) =>
@@ -184,7 +192,7 @@
   );
 }
 
-/** What the log tells of a report; equal counts have equal digests. */
+/** Returns the log fields of a report; equal counts have equal digests. */
 function reportFields(
   window: string,
   counts: UsageCounts,
--- a/packages/rampswitch-serving/src/duties/usage_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_duty_test.ts
@@ -21,7 +21,7 @@
   isSettled: true,
 };
 
-/** The duty at a host that started in window 100. */
+/** Creates the duty at a host that started in window 100. */
 function startedDuty(): {
   readonly counter: UsageCounter;
   readonly duty: UsageDuty;
@@ -39,7 +39,7 @@
 }
 
 describe("reports of a host that started after a window", () => {
-  test("tell what its peers and the lease object still know of it", () => {
+  test("include the counts of its peers and of the lease object", () => {
     const { counter, duty } = startedDuty();
     counter.restore({ "a/1": { 99: { w: 40 } } }, "self/2");
     counter.heard("b", "1", { 99: { w: 2 }, 100: { w: 7 } });
@@ -48,19 +48,19 @@
     });
   });
 
-  test("say nothing of windows that nobody knows", () => {
+  test("leave out windows without known counts", () => {
     const { duty } = startedDuty();
     expect(duty.finalUsage(NO_FINAL_USAGE, LATER)).toEqual(NO_FINAL_USAGE);
   });
 
-  test("wait until the time of day is settled", () => {
+  test("wait until the fleet time is reliable", () => {
     const { counter, duty } = startedDuty();
     counter.heard("b", "1", { 99: { w: 2 } });
     const time = { ...LATER, isSettled: false };
     expect(duty.finalUsage(NO_FINAL_USAGE, time)).toBe(NO_FINAL_USAGE);
   });
 
-  test("repeat what was final before", () => {
+  test("repeat earlier final reports", () => {
     const { counter, duty } = startedDuty();
     counter.heard("b", "1", { 99: { w: 2 } });
     const known = finalUsageFromReports({ 99: { w: 40 } });
--- a/packages/rampswitch-serving/src/duties/usage_fleet_standin.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_standin.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Some hosts with their duties in simulated time: clocks that step, processes that
- * end and start anew, news that comes late, a store and a cloud without answers.
- * What the cloud was sent is kept.
+ * Simulates some hosts with their duties: clocks that step, processes that end
+ * and restart, gossip that arrives late, and a store and a cloud without
+ * answers. The reports that the cloud received are recorded.
  *
  * @module
  */
@@ -31,53 +31,71 @@
 const STEP_MILLISECONDS = 50;
 const GOSSIP_INTERVAL_MILLISECONDS = 250;
 
-/** Longest time that a message between hosts takes, in milliseconds. */
+/** Maximum time that a message between hosts takes, in milliseconds. */
 const MAXIMUM_GOSSIP_DELAY_MILLISECONDS = 400;
 
-/** Longest time after which a call without an answer is carried out, in milliseconds. */
+/**
+ * Maximum time until a call without an answer is carried out, in milliseconds.
+ */
 const MAXIMUM_LATE_CALL_MILLISECONDS = 3_000;
 
-/** Time in which faults begin, and the time without any after it, in milliseconds. */
+/**
+ * Time in which faults begin, and the time without faults after it, in
+ * milliseconds.
+ */
 const FAULTS_MILLISECONDS = 40_000;
 const CALM_MILLISECONDS = 30_000;
 
 /**
- * Time after all faults until every window is reported, in milliseconds. What goes
- * on for a while ends within 4 s and a lease runs out in 3.5 s. A lease that can't be
- * read makes all windows final up to 5 s ahead of a clock that is 5 s ahead.
+ * Time after all faults until every window is reported, in milliseconds.
+ * Temporary faults end within 4 s and a lease expires after 3.5 s. A lease that
+ * can't be read makes all windows final up to 5 s ahead of a clock that is 5 s
+ * ahead.
  */
 const RECOVERY_MILLISECONDS = 18_000;
 
-/** Time in which a window is reported after its end, in milliseconds; some tries. */
+/**
+ * Time after its end in which a window is reported, in milliseconds; some
+ * attempts.
+ */
 const REPORT_TIME_MILLISECONDS = 4_000;
 
 const HOUR_MILLISECONDS = 3_600_000;
 
-/** Largest step of a clock that is not off by an hour, in milliseconds. */
+/** Maximum step of a clock that is not off by an hour, in milliseconds. */
 const MAXIMUM_CLOCK_STEP_MILLISECONDS = 5_000;
 
-/** Longest time for which clocks are off, in milliseconds. */
+/** Maximum time for which clocks are off, in milliseconds. */
 const MAXIMUM_CLOCK_FAULT_MILLISECONDS = 4_000;
 
-/** Longest time for which the store or the cloud does not answer, in milliseconds. */
+/**
+ * Maximum time for which the store or the cloud does not answer, in
+ * milliseconds.
+ */
 const MAXIMUM_OUTAGE_MILLISECONDS = 3_000;
 
-/** Greatest age of a copy that the store comes back from, in milliseconds. */
+/** Maximum age of a copy from which the store is restored, in milliseconds. */
 const MAXIMUM_COPY_AGE_MILLISECONDS = 6_000;
 
 /** Shares of the hosts whose clocks step at once. */
 const CLOCK_FAULT_SHARES = [0.25, 0.5, 0.8, 1];
 
-/** Half of the time around which counts become final; faults are most likely in it. */
+/**
+ * Time before and after counts become final in which faults are most likely, in
+ * milliseconds.
+ */
 const LIKELY_MILLISECONDS = 200;
 
-/** Chance of a fault in a step, and around the moment at which counts become final. */
+/** Chance of a fault per step: usually, and when counts become final. */
 const FAULT_CHANCE = { usual: 0.02, likely: 0.15 };
 
-/** Chance that the lease is spoilt when its turn has come; nobody acts for 3.5 s. */
+/**
+ * Chance that a chosen corruption of the lease is done; no host acts for 3.5 s
+ * after it.
+ */
 const CORRUPTION_CHANCE = 0.2;
 
-/** What may go wrong. */
+/** Kinds of faults. */
 export type UsageFault =
   | "clocks"
   | "far_clock"
@@ -86,10 +104,10 @@
   | "cloud"
   | "corrupt_lease"
   | "gossip"
-  /** The store is away for a moment and comes back from a copy. */
+  /** The store is unreachable for a moment and is then restored from a copy. */
   | "restore";
 
-/** A report that the cloud was sent. */
+/** A report that the cloud received. */
 export interface SentReport extends UsageReport {
   readonly at: number;
   readonly holder: string;
@@ -98,7 +116,9 @@
 
 interface SimulatedHost {
   readonly name: string;
-  /** How far its agreed time of day is ahead of the truth, in milliseconds. */
+  /**
+   * How far its fleet time of day is ahead of the true time, in milliseconds.
+   */
   clockOffset: number;
   process: SimulatedProcess | undefined;
 }
@@ -110,25 +130,25 @@
   isAlive: boolean;
 }
 
-/** How a fleet is played. */
+/** Options of a simulated fleet. */
 export interface FleetOptions {
   readonly seed: number;
   readonly faults: readonly UsageFault[];
-  /** What is wrong with the store's values, as by a wrong program. */
+  /** Changes to the store's values, as a faulty program would make them. */
   readonly storeChanges?: Partial<
     Pick<LeaseStore, "alterWritten" | "corruptValue">
   >;
 }
 
-/** What came of a play. */
+/** Result of a simulation. */
 export interface FleetResult {
-  /** All reports that the cloud was sent, in order. */
+  /** All reports that the cloud received, in order. */
   readonly sent: readonly SentReport[];
-  /** Windows that surely are reported, since nothing went wrong for long. */
+  /** Windows that must be reported, since no fault lasted long. */
   readonly due: readonly number[];
 }
 
-/** Plays a fleet with faults, and then for a while without. */
+/** Simulates a fleet with faults, and then for a while without. */
 export async function simulateFleet(
   options: FleetOptions,
 ): Promise<FleetResult> {
@@ -149,7 +169,7 @@
   };
 }
 
-/** The hosts, and what is around them. */
+/** The hosts, their store and their cloud. */
 class UsageFleet {
   readonly sent: SentReport[] = [];
   readonly #clock = new ManualClock(START_TIME_MILLISECONDS);
@@ -179,7 +199,7 @@
     return this.#clock.now();
   }
 
-  /** Lets some time pass. */
+  /** Advances the simulated time. */
   async advance(
     milliseconds: number,
     { withFaults }: { readonly withFaults: boolean },
@@ -188,7 +208,7 @@
     while (this.now < endsAt) await this.#step(withFaults);
   }
 
-  /** Ends what has no end of its own. */
+  /** Ends the faults that do not end by themselves. */
   endOpenFaults(): void {
     this.#store.losesAnswers = false;
   }
@@ -202,7 +222,7 @@
     if (withFaults && this.#random.next() < this.#faultChance()) {
       this.#injectFault();
     }
-    // All that follows from what was done in this step, but for timers.
+    // Runs all work that this step caused, except timers.
     await new Promise((resolve) => setImmediate(resolve));
   }
 
@@ -258,7 +278,7 @@
     },
   };
 
-  /** Clocks of some hosts step ahead or back, and heal later. */
+  /** Steps the clocks of some hosts ahead or back, and resets them later. */
   #stepClocks(hosts: readonly SimulatedHost[], size: number): void {
     const offset = this.#random.next() < 0.5 ? size : -size;
     hosts.forEach((host) => {
--- a/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
@@ -1,18 +1,18 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// Two holders reported one window with other counts. The first one's clock was
-// ahead, so that it made a window final before its end and sent it; the lease
-// object held it. Whoever renewed next with a clock that was not ahead kept only the
-// windows that had ended by that clock, dropped the report, and counted the window
-// anew when its turn came:
+// Guards against two reports of one window with different counts. The first
+// holder's clock was ahead, so it made a window final before its end and sent
+// it; the lease object held it. The next renewal, by a clock that was not
+// ahead, retained only the windows that had ended by that clock. It dropped the
+// report, and the window was counted again later:
 //
 //     18.58 s "usage reported","window":356455783,"requests":90,"fence":2
 //     20.82 s "duties taken","fence":3
 //     21.61 s "usage reported","window":356455783,"requests":97,"fence":3
 //
-// What is final must stay final whatever any host's clock says, and whatever copy the
-// store comes back from: with the lease object the list of final windows is lost, and
-// the fences that were given out since.
+// Final usage must stay final whatever any host's clock shows, and whatever
+// copy the store is restored from. A restore loses the list of final windows
+// with the lease object, and the fences that were given out since.
 
 import { describe, expect, test } from "@jest/globals";
 import {
@@ -25,7 +25,9 @@
 
 const SEEDS = Array.from({ length: 30 }, (_, index) => index + 1);
 
-/** Time for the plays of one test on a busy machine, in milliseconds. */
+/**
+ * Timeout for the simulations of one test on a busy machine, in milliseconds.
+ */
 const TEST_MILLISECONDS = 240_000;
 
 function simulateAll(
@@ -37,7 +39,10 @@
   );
 }
 
-/** Windows of which reports with other counts were sent, and by whom. */
+/**
+ * Windows for which reports with different counts were sent, and by which
+ * hosts.
+ */
 function reportedTwice({ sent }: FleetResult): readonly string[] {
   const first = new Map<number, SentReport>();
   return sent.flatMap((report) => {
@@ -61,7 +66,7 @@
   );
 }
 
-/** Windows that were never reported, though nothing went wrong any more. */
+/** Windows that were never reported, although no fault occurred any more. */
 function neverReported({ sent, due }: FleetResult): readonly string[] {
   const reported = new Set(sent.map(({ window }) => window));
   return due
@@ -79,7 +84,7 @@
   });
 }
 
-/** What was broken in plays with some faults. */
+/** Returns the violations in simulations with some faults. */
 async function findViolations(
   faults: readonly UsageFault[],
 ): Promise<readonly (readonly string[])[]> {
@@ -93,7 +98,7 @@
     .filter((found) => found.length > 0);
 }
 
-describe("reports of one window, by whichever host and process", () => {
+describe("reports of one window, by any host and process", () => {
   test(
     "are equal while clocks step and hosts are replaced",
     async () => {
@@ -123,7 +128,7 @@
   );
 
   test(
-    "are equal while the store comes back from copies",
+    "are equal while the store is restored from copies",
     async () => {
       expect(await findViolations(["restore", "ends", "gossip"])).toEqual([]);
     },
@@ -131,7 +136,7 @@
   );
 
   test(
-    "are equal while it does so beside all else",
+    "are equal while restores and other faults happen at once",
     async () => {
       const faults: readonly UsageFault[] = [
         "restore",
@@ -147,7 +152,7 @@
   );
 
   test(
-    "are equal while all of that happens at once",
+    "are equal while corrupted leases and other faults happen at once",
     async () => {
       const faults: readonly UsageFault[] = [
         "clocks",
@@ -163,7 +168,7 @@
   );
 });
 
-/** What a lease object holds, as far as wrong rules change it. */
+/** Fields of the lease object that wrong rules change. */
 interface StoredLease {
   readonly finalWindows?: readonly (readonly [number, number])[];
   readonly reports?: Readonly<Record<string, unknown>>;
@@ -175,17 +180,17 @@
   return (value) => JSON.stringify(change(JSON.parse(value) as StoredLease));
 }
 
-describe("a wrong rule is found", () => {
+describe("detects a wrong rule", () => {
   test.each<[string, readonly UsageFault[], FleetOptions["storeChanges"]]>([
     [
-      "final windows are forgotten with their reports",
+      "final windows are dropped with their reports",
       ["clocks", "far_clock", "ends"],
       {
         alterWritten: rewriteLease((lease) => ({ ...lease, finalWindows: [] })),
       },
     ],
     [
-      "only the newest final windows are kept",
+      "only the newest final windows are retained",
       ["clocks", "far_clock", "ends"],
       {
         alterWritten: rewriteLease((lease) => ({
