--- a/packages/rampswitch-serving/src/duties/capacity_duty.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty.ts
@@ -26,7 +26,7 @@
 } from "./capacity_plan.ts";
 
 /**
- * Time for which too many servers are ordered before fewer are, in
+ * Time for which the plan must need fewer servers before fewer are ordered, in
  * milliseconds.
  */
 const SCALE_DOWN_DELAY_MILLISECONDS = 6_000;
--- a/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
@@ -144,12 +144,12 @@
     const halls = ["a", "b", "c", "d"].map((name) =>
       hall(name, { reclaimableSoldOut: true }),
     );
-    const wished = (needed: number) =>
+    const minimumsFor = (needed: number) =>
       planCapacity(needed, halls, LIMITS).map(
         (hallTarget) => hallTarget.onDemandMinimum,
       );
-    expect(wished(8)).toEqual([0, 4, 0, 4]);
-    expect(wished(17)).toEqual([3, 7, 0, 7]);
+    expect(minimumsFor(8)).toEqual([0, 4, 0, 4]);
+    expect(minimumsFor(17)).toEqual([3, 7, 0, 7]);
   });
 
   test("retains servers on demand until others are ready, and orders no unneeded ones", () => {
--- a/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
@@ -173,10 +173,10 @@
     store.isReachable = false;
     suspension.milliseconds = 8_000;
     expect(keeper.canAct).toBe(false);
-    for (let turn = 0; turn < 20; turn += 1) await advanceStep(clock);
+    for (let round = 0; round < 20; round += 1) await advanceStep(clock);
     expect(keeper.canAct).toBe(false);
     store.isReachable = true;
-    for (let turn = 0; turn < 20; turn += 1) await advanceStep(clock);
+    for (let round = 0; round < 20; round += 1) await advanceStep(clock);
     expect(keeper.canAct).toBe(true);
   });
 });
@@ -233,14 +233,14 @@
 
 describe("lease of the duties", () => {
   test("no holder acts after one with a higher fence", async () => {
-    const played = await SIMULATED;
-    expect(played.flatMap(staleActs)).toEqual([]);
-    expect(played.every((acts) => acts.length > 20)).toBe(true);
+    const simulated = await SIMULATED;
+    expect(simulated.flatMap(staleActs)).toEqual([]);
+    expect(simulated.every((acts) => acts.length > 20)).toBe(true);
   });
 
   test("holders do not alternate within the lease's duration", async () => {
-    const played = await SIMULATED;
-    expect(played.flatMap(alternations)).toEqual([]);
+    const simulated = await SIMULATED;
+    expect(simulated.flatMap(alternations)).toEqual([]);
   });
 
   test("a fence never has two holders", async () => {
@@ -248,7 +248,7 @@
       all.map((act) => ({ ...act, simulation: index })),
     );
     const holders = new Map<string, string>();
-    const shared = acts.filter(({ simulation: simulation, fence, holder }) => {
+    const shared = acts.filter(({ simulation, fence, holder }) => {
       const key = `${simulation}/${fence}`;
       const known = holders.get(key) ?? holder;
       holders.set(key, known);
@@ -262,31 +262,33 @@
   // simulations, 38 had acts below an earlier fence.
   test("no holder acts below a fence after another writer corrupted the lease", async () => {
     const options = { corruptionSteps: 150 };
-    const played = await Promise.all(
+    const simulated = await Promise.all(
       SEEDS.map((seed) => simulate(seed, TIMES, options)),
     );
-    expect(played.map(staleActs).filter((acts) => acts.length > 0)).toEqual([]);
-    expect(played.flatMap(alternations)).toEqual([]);
+    expect(simulated.map(staleActs).filter((acts) => acts.length > 0)).toEqual(
+      [],
+    );
+    expect(simulated.flatMap(alternations)).toEqual([]);
     // No host acts for the lease's duration after each of eight corrupted
     // leases.
-    expect(played.every((acts) => acts.length > 10)).toBe(true);
+    expect(simulated.every((acts) => acts.length > 10)).toBe(true);
   });
 
   test.each([
     ["a holder acts longer than others wait", { ...TIMES, acting: 9_000 }],
     ["others take a lease too early", { ...TIMES, duration: 500 }],
   ])("detects a wrong rule: %s", async (_name, times) => {
-    const played = await Promise.all(
+    const simulated = await Promise.all(
       SEEDS.map((seed) => simulate(seed, times)),
     );
-    expect(played.flatMap(staleActs).length).toBeGreaterThan(0);
+    expect(simulated.flatMap(staleActs).length).toBeGreaterThan(0);
   });
 
   test("detects a wrong rule: a holder acts at once on a lease given up", async () => {
     const times = { ...TIMES, afterRelease: 0 };
-    const played = await Promise.all(
+    const simulated = await Promise.all(
       SEEDS.map((seed) => simulate(seed, times)),
     );
-    expect(played.flatMap(alternations).length).toBeGreaterThan(0);
+    expect(simulated.flatMap(alternations).length).toBeGreaterThan(0);
   });
 });
--- a/packages/rampswitch-serving/src/duties/duty_lease.ts
+++ b/packages/rampswitch-serving/src/duties/duty_lease.ts
@@ -148,7 +148,7 @@
   const former = lease ?? lastRead;
   const unreadableVersion = lease === undefined ? (version ?? 0) : 0;
   const isFirstLease = former === undefined && version === undefined;
-  const isUnreadable = lease === undefined && !isFirstLease;
+  const isUnknown = lease === undefined && !isFirstLease;
   const final = mergeFinalUsage(lease?.final, lastRead?.final);
   const fences = [lease?.fence, lastRead?.fence, unreadableVersion];
   return {
@@ -161,7 +161,7 @@
     counts: former?.counts ?? {},
     // Windows that were final in a lost lease may have been reported.
     final:
-      isUnreadable || isPossiblySuperseded(observed, history)
+      isUnknown || isPossiblySuperseded(observed, history)
         ? { ...final, incomplete: true }
         : final,
   };
--- a/packages/rampswitch-serving/src/duties/host_duties.ts
+++ b/packages/rampswitch-serving/src/duties/host_duties.ts
@@ -29,8 +29,8 @@
 import { type TimeOfDay, UsageDuty } from "./usage_duty.ts";
 
 /**
- * Times of the lease beside its own bound, in milliseconds. A holder acts for
- * two renewals after one that took effect. Others wait a second longer than any
+ * Times of the lease beside its configured bound, in milliseconds. A holder acts
+ * for two renewals after one that took effect. Others wait a second longer than any
  * of its calls may last.
  */
 const LEASE_TIMES: Omit<LeaseTimes, "afterRelease"> = {
--- a/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
@@ -88,12 +88,12 @@
 async function findViolations(
   faults: readonly UsageFault[],
 ): Promise<readonly (readonly string[])[]> {
-  const played = await simulateAll(faults);
-  return played
-    .map((play) => [
-      ...reportedTwice(play),
-      ...neverReported(play),
-      ...fencesOfSeveralHosts(play),
+  const results = await simulateAll(faults);
+  return results
+    .map((result) => [
+      ...reportedTwice(result),
+      ...neverReported(result),
+      ...fencesOfSeveralHosts(result),
     ])
     .filter((found) => found.length > 0);
 }
@@ -215,8 +215,8 @@
   ])(
     "%s",
     async (_name, faults, storeChanges) => {
-      const played = await simulateAll(faults, storeChanges);
-      expect(played.flatMap(reportedTwice).length).toBeGreaterThan(0);
+      const results = await simulateAll(faults, storeChanges);
+      expect(results.flatMap(reportedTwice).length).toBeGreaterThan(0);
     },
     TEST_MILLISECONDS,
   );
