--- a/packages/rampswitch-serving/src/duties/duty_lease.ts
+++ b/packages/rampswitch-serving/src/duties/duty_lease.ts
@@ -1,36 +1,37 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The lease of the duties: decisions without store or clock. One object in the
- * store names the holder; its fence rises with each holder. No host compares
- * clocks: who watches counts from when it saw the object change, and the holder
- * counts from when it sent its last successful renewal.
+ * Decisions about the lease of the duties, without store or clock. One object
+ * in the store names the holder; its fence rises with each holder. Hosts never
+ * compare their clocks: other hosts count from when they observed a change of
+ * the object, and the holder counts from when it sent its last successful
+ * renewal.
  *
  * @module
  */
 
 import { positionOf } from "rampswitch-store";
-import { type FinalUsage, unitedUsage } from "./final_usage.ts";
-import type { LifeCounts } from "./usage_counter.ts";
+import { type FinalUsage, mergeFinalUsage } from "./final_usage.ts";
+import type { IncarnationCounts } from "./usage_counter.ts";
 
 /** Value of the lease object. */
 export interface DutyLease {
   readonly holder: string;
-  /** Life of the holder's process. */
+  /** Incarnation of the holder's process. */
   readonly incarnation: string;
   readonly fence: number;
   /** Era of the store in which it was written. */
   readonly era: number;
   /**
-   * Counts renewals. A write that changes nothing raises no version in the
-   * store, so without it a renewal could not be seen.
+   * Counts renewals. A write that changes nothing does not raise the version in
+   * the store, so without this counter other hosts could not observe a renewal.
    */
   readonly renewals: number;
   /** Whether the holder gave the lease up. */
   readonly released: boolean;
-  /** Counts of windows that are not final, by life of a process. */
-  readonly counts: LifeCounts;
-  /** Usage that is final; its windows stay so in every later lease. */
+  /** Counts of windows that are not final, by incarnation. */
+  readonly counts: IncarnationCounts;
+  /** Usage that is final; its windows stay final in every later lease. */
   readonly final: FinalUsage;
 }
 
@@ -45,44 +46,46 @@
   readonly afterRelease: number;
 }
 
-/** The lease object as last seen. */
-export interface SeenLease {
+/** The lease object as last observed. */
+export interface ObservedLease {
   readonly lease: DutyLease | undefined;
   /** Store version; `undefined` while there is no object. */
   readonly version: number | undefined;
-  /** When this version was first seen, on the steady clock. */
+  /** When this version was first observed, on the monotonic clock. */
   readonly since: number;
 }
 
-/** What a host knows of the store's history. */
+/** What a host knows about the history of the store. */
 export interface StoreHistory {
   readonly era: number;
-  /** Whether it came back from a copy since this host started. */
-  readonly cameBack: boolean;
+  /** Whether it was restored from a copy since this host started. */
+  readonly wasRestored: boolean;
 }
 
-/** The newest era of a store that has never come back from a copy. */
+/** Era of a store that was never restored from a copy. */
 const FIRST_ERA = 1;
 
 /**
- * Whether leases may have followed the one that is seen, or none, which are lost: the
- * store has come back from a copy since.
+ * Whether later leases than the observed one, or than none, may have existed
+ * and been lost, because the store was restored from a copy since.
  */
-export function mayBeFollowed(
-  { lease }: SeenLease,
-  { era, cameBack }: StoreHistory,
+export function isPossiblySuperseded(
+  { lease }: ObservedLease,
+  { era, wasRestored }: StoreHistory,
 ): boolean {
-  return lease === undefined ? cameBack || era > FIRST_ERA : lease.era !== era;
+  return lease === undefined
+    ? wasRestored || era > FIRST_ERA
+    : lease.era !== era;
 }
 
 /** What a host that is not the holder does about the lease. */
 export type TakeDecision =
-  | { readonly kind: "take"; readonly mayActAt: number }
+  | { readonly kind: "take"; readonly canActAt: number }
   | { readonly kind: "wait" };
 
 /** Decides whether to take a lease that another process held. */
 export function decideTake(
-  seen: SeenLease,
+  observed: ObservedLease,
   self: { readonly host: string; readonly incarnation: string },
   options: {
     readonly now: number;
@@ -91,62 +94,63 @@
   },
 ): TakeDecision {
   const { now, times, history } = options;
-  const decision = decideTakeInEra(seen, self, { now, times });
-  if (decision.kind === "wait" || !mayBeFollowed(seen, history))
+  const decision = decideTakeInEra(observed, self, { now, times });
+  if (decision.kind === "wait" || !isPossiblySuperseded(observed, history))
     return decision;
-  // Whoever holds a lease that is lost goes on for as long as it lasts.
-  const mayActAt = Math.max(decision.mayActAt, now + times.duration);
-  return { kind: "take", mayActAt };
+  // The holder of a lost lease continues until its lease expires.
+  const canActAt = Math.max(decision.canActAt, now + times.duration);
+  return { kind: "take", canActAt };
 }
 
 function decideTakeInEra(
-  seen: SeenLease,
+  observed: ObservedLease,
   self: { readonly host: string; readonly incarnation: string },
   options: { readonly now: number; readonly times: LeaseTimes },
 ): TakeDecision {
   const { now, times } = options;
-  const { lease } = seen;
+  const { lease } = observed;
   if (lease === undefined) {
-    // Whoever held a lease that was spoilt since may still act.
-    return seen.version === undefined || now - seen.since >= times.duration
-      ? { kind: "take", mayActAt: now }
+    // The holder of a lease that was corrupted since may still act.
+    return observed.version === undefined ||
+      now - observed.since >= times.duration
+      ? { kind: "take", canActAt: now }
       : { kind: "wait" };
   }
   if (lease.holder === self.host) {
-    // A former process of this host is gone; its fence is never used again.
-    return { kind: "take", mayActAt: now };
+    // A former process of this host has ended; its fence is never used again.
+    return { kind: "take", canActAt: now };
   }
   if (lease.released) {
-    return { kind: "take", mayActAt: now + times.afterRelease };
+    return { kind: "take", canActAt: now + times.afterRelease };
   }
-  return now - seen.since >= times.duration
-    ? { kind: "take", mayActAt: now }
+  return now - observed.since >= times.duration
+    ? { kind: "take", canActAt: now }
     : { kind: "wait" };
 }
 
 /**
- * The lease that a host writes to become its holder, from the newest that it read.
- * Each new fence is written at a later position in the store, so that no fence of
- * before lies above the position of an object that can't be read, nor above the
- * first one of an era.
+ * Returns the lease that a host writes to become the holder, from the newest
+ * lease that it read. The store's position rises with each new fence. Earlier
+ * fences therefore can't exceed the position of an object that can't be read,
+ * nor the first position of a later era, and the new fence lies above both.
  */
-export function takenLease(
-  seen: SeenLease,
+export function newLease(
+  observed: ObservedLease,
   self: { readonly host: string; readonly incarnation: string },
   known: {
     readonly lastRead: DutyLease | undefined;
     readonly history: StoreHistory;
   },
 ): DutyLease {
-  const { lease, version } = seen;
+  const { lease, version } = observed;
   const { lastRead, history } = known;
   const { era } = history;
-  const before = lease ?? lastRead;
-  const unreadable = lease === undefined ? (version ?? 0) : 0;
-  const isFirst = before === undefined && version === undefined;
-  const isUnknown = lease === undefined && !isFirst;
-  const final = unitedUsage(lease?.final, lastRead?.final);
-  const fences = [lease?.fence, lastRead?.fence, unreadable];
+  const former = lease ?? lastRead;
+  const unreadableVersion = lease === undefined ? (version ?? 0) : 0;
+  const isFirstLease = former === undefined && version === undefined;
+  const isUnknown = lease === undefined && !isFirstLease;
+  const final = mergeFinalUsage(lease?.final, lastRead?.final);
+  const fences = [lease?.fence, lastRead?.fence, unreadableVersion];
   return {
     holder: self.host,
     incarnation: self.incarnation,
@@ -154,25 +158,25 @@
     era,
     renewals: 0,
     released: false,
-    counts: before?.counts ?? {},
-    // What was final in a lease that is lost may have been reported.
+    counts: former?.counts ?? {},
+    // Windows that were final in a lost lease may have been reported.
     final:
-      isUnknown || mayBeFollowed(seen, history)
+      isUnknown || isPossiblySuperseded(observed, history)
         ? { ...final, incomplete: true }
         : final,
   };
 }
 
 /** Whether a holder may act at a time. */
-export function mayAct(
-  held: { readonly mayActAt: number },
+export function canAct(
+  held: { readonly canActAt: number },
   options: {
     readonly now: number;
-    /** Time since the last renewal that took effect was sent, at least. */
+    /** Minimum time since the last renewal that took effect was sent. */
     readonly renewalAge: number;
     readonly times: LeaseTimes;
   },
 ): boolean {
   const { now, renewalAge, times } = options;
-  return now >= held.mayActAt && renewalAge < times.acting;
+  return now >= held.canActAt && renewalAge < times.acting;
 }
--- a/packages/rampswitch-serving/src/duties/usage_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_duty_test.ts
@@ -4,7 +4,7 @@
 import { Result } from "true-myth";
 import { SILENT_LOGGER } from "rampswitch-utils";
 import { ServingMetrics } from "../observation/mod.ts";
-import { finalUsageOfReports, NO_FINAL_USAGE } from "./final_usage.ts";
+import { finalUsageFromReports, NO_FINAL_USAGE } from "./final_usage.ts";
 import { UsageCounter } from "./usage_counter.ts";
 import { type TimeOfDay, UsageDuty } from "./usage_duty.ts";
 
@@ -16,12 +16,12 @@
 /** A time of day at which window 99 is final. */
 const LATER: TimeOfDay = {
   own: 502_500,
-  agreed: 502_500,
+  fleet: 502_500,
   startedAt: STARTED_AT,
   isSettled: true,
 };
 
-/** The duty at a host that started in window 100. */
+/** Creates the duty at a host that started in window 100. */
 function startedDuty(): {
   readonly counter: UsageCounter;
   readonly duty: UsageDuty;
@@ -39,7 +39,7 @@
 }
 
 describe("reports of a host that started after a window", () => {
-  test("tell what its peers and the lease object still know of it", () => {
+  test("include the counts of its peers and of the lease object", () => {
     const { counter, duty } = startedDuty();
     counter.restore({ "a/1": { 99: { w: 40 } } }, "self/2");
     counter.heard("b", "1", { 99: { w: 2 }, 100: { w: 7 } });
@@ -48,22 +48,22 @@
     });
   });
 
-  test("say nothing of windows that nobody knows", () => {
+  test("leave out windows without known counts", () => {
     const { duty } = startedDuty();
     expect(duty.finalUsage(NO_FINAL_USAGE, LATER)).toEqual(NO_FINAL_USAGE);
   });
 
-  test("wait until the time of day is settled", () => {
+  test("wait until the fleet time is reliable", () => {
     const { counter, duty } = startedDuty();
     counter.heard("b", "1", { 99: { w: 2 } });
     const time = { ...LATER, isSettled: false };
     expect(duty.finalUsage(NO_FINAL_USAGE, time)).toBe(NO_FINAL_USAGE);
   });
 
-  test("repeat what was final before", () => {
+  test("repeat earlier final reports", () => {
     const { counter, duty } = startedDuty();
     counter.heard("b", "1", { 99: { w: 2 } });
-    const known = finalUsageOfReports({ 99: { w: 40 } });
+    const known = finalUsageFromReports({ 99: { w: 40 } });
     expect(duty.finalUsage(known, LATER)).toEqual(known);
   });
 });
--- a/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_test.ts
@@ -1,42 +1,49 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// Two holders reported one window with other counts. The first one's clock was
-// ahead, so that it made a window final before its end and sent it; the lease
-// object held it. Whoever renewed next with a clock that was not ahead kept only the
-// windows that had ended by that clock, dropped the report, and counted the window
-// anew when its turn came:
+// Guards against two reports of one window with different counts. The first
+// holder's clock was ahead, so it made a window final before its end and sent
+// it; the lease object held it. The next renewal, by a clock that was not
+// ahead, retained only the windows that had ended by that clock. It dropped the
+// report, and the window was counted again later:
 //
 //     18.58 s "usage reported","window":356455783,"requests":90,"fence":2
 //     20.82 s "duties taken","fence":3
 //     21.61 s "usage reported","window":356455783,"requests":97,"fence":3
 //
-// What is final must stay final whatever any host's clock says, and whatever copy the
-// store comes back from: with the lease object the list of final windows is lost, and
-// the fences that were given out since.
+// Final usage must stay final whatever any host's clock shows, and whatever
+// copy the store is restored from. A restore loses the list of final windows
+// with the lease object, and the fences that were given out since.
 
 import { describe, expect, test } from "@jest/globals";
 import {
   type FleetOptions,
-  type FleetPlay,
-  playFleet,
+  type FleetResult,
+  simulateFleet,
   type SentReport,
   type UsageFault,
 } from "./usage_fleet_standin.ts";
 
 const SEEDS = Array.from({ length: 30 }, (_, index) => index + 1);
 
-/** Time for the plays of one test on a busy machine, in milliseconds. */
+/**
+ * Timeout for the simulations of one test on a busy machine, in milliseconds.
+ */
 const TEST_MILLISECONDS = 240_000;
 
-function playAll(
+function simulateAll(
   faults: readonly UsageFault[],
-  wrong: FleetOptions["wrong"] = {},
-): Promise<readonly FleetPlay[]> {
-  return Promise.all(SEEDS.map((seed) => playFleet({ seed, faults, wrong })));
+  storeChanges: FleetOptions["storeChanges"] = {},
+): Promise<readonly FleetResult[]> {
+  return Promise.all(
+    SEEDS.map((seed) => simulateFleet({ seed, faults, storeChanges })),
+  );
 }
 
-/** Windows of which reports with other counts were sent, and by whom. */
-function reportedTwice({ sent }: FleetPlay): readonly string[] {
+/**
+ * Windows for which reports with different counts were sent, and by which
+ * hosts.
+ */
+function reportedTwice({ sent }: FleetResult): readonly string[] {
   const first = new Map<number, SentReport>();
   return sent.flatMap((report) => {
     const before = first.get(report.window) ?? report;
@@ -59,8 +66,8 @@
   );
 }
 
-/** Windows that were never reported, though nothing went wrong any more. */
-function neverReported({ sent, due }: FleetPlay): readonly string[] {
+/** Windows that were never reported, although no fault occurred any more. */
+function neverReported({ sent, due }: FleetResult): readonly string[] {
   const reported = new Set(sent.map(({ window }) => window));
   return due
     .filter((window) => !reported.has(window))
@@ -68,7 +75,7 @@
 }
 
 /** Fences under which more than one host sent reports. */
-function sharedFences({ sent }: FleetPlay): readonly string[] {
+function fencesOfSeveralHosts({ sent }: FleetResult): readonly string[] {
   const holders = new Map<number, string>();
   return sent.flatMap(({ fence, holder }) => {
     const first = holders.get(fence) ?? holder;
@@ -77,25 +84,25 @@
   });
 }
 
-/** What was broken in plays with some faults. */
-async function broken(
+/** Returns the violations in simulations with some faults. */
+async function findViolations(
   faults: readonly UsageFault[],
 ): Promise<readonly (readonly string[])[]> {
-  const played = await playAll(faults);
-  return played
-    .map((play) => [
-      ...reportedTwice(play),
-      ...neverReported(play),
-      ...sharedFences(play),
+  const results = await simulateAll(faults);
+  return results
+    .map((result) => [
+      ...reportedTwice(result),
+      ...neverReported(result),
+      ...fencesOfSeveralHosts(result),
     ])
     .filter((found) => found.length > 0);
 }
 
-describe("reports of one window, by whichever host and process", () => {
+describe("reports of one window, by any host and process", () => {
   test(
     "are equal while clocks step and hosts are replaced",
     async () => {
-      expect(await broken(["clocks", "far_clock", "ends"])).toEqual([]);
+      expect(await findViolations(["clocks", "far_clock", "ends"])).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
@@ -103,7 +110,9 @@
   test(
     "are equal when the lease that held them can't be read",
     async () => {
-      expect(await broken(["spoilt_lease", "ends", "news"])).toEqual([]);
+      expect(await findViolations(["corrupt_lease", "ends", "gossip"])).toEqual(
+        [],
+      );
     },
     TEST_MILLISECONDS,
   );
@@ -111,76 +120,80 @@
   test(
     "are equal while answers of store and cloud come late or never",
     async () => {
-      expect(await broken(["store", "cloud", "ends", "news"])).toEqual([]);
+      expect(
+        await findViolations(["store", "cloud", "ends", "gossip"]),
+      ).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
 
   test(
-    "are equal while the store comes back from copies",
+    "are equal while the store is restored from copies",
     async () => {
-      expect(await broken(["copy", "ends", "news"])).toEqual([]);
+      expect(await findViolations(["restore", "ends", "gossip"])).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
 
   test(
-    "are equal while it does so beside all else",
+    "are equal while restores and other faults happen at once",
     async () => {
       const faults: readonly UsageFault[] = [
-        "copy",
+        "restore",
         "ends",
         "store",
         "cloud",
-        "news",
+        "gossip",
         "clocks",
       ];
-      expect(await broken(faults)).toEqual([]);
+      expect(await findViolations(faults)).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
 
   test(
-    "are equal while all of that happens at once",
+    "are equal while corrupted leases and other faults happen at once",
     async () => {
       const faults: readonly UsageFault[] = [
         "clocks",
         "ends",
         "store",
         "cloud",
-        "spoilt_lease",
-        "news",
+        "corrupt_lease",
+        "gossip",
       ];
-      expect(await broken(faults)).toEqual([]);
+      expect(await findViolations(faults)).toEqual([]);
     },
     TEST_MILLISECONDS,
   );
 });
 
-/** What a lease object holds, as far as wrong rules change it. */
+/** Fields of the lease object that wrong rules change. */
 interface StoredLease {
   readonly finalWindows?: readonly (readonly [number, number])[];
   readonly reports?: Readonly<Record<string, unknown>>;
 }
 
-function changedBy(
+function rewriteLease(
   change: (lease: StoredLease) => StoredLease,
 ): (value: string) => string {
   return (value) => JSON.stringify(change(JSON.parse(value) as StoredLease));
 }
 
-describe("a wrong rule is found", () => {
-  test.each<[string, readonly UsageFault[], FleetOptions["wrong"]]>([
+describe("detects a wrong rule", () => {
+  test.each<[string, readonly UsageFault[], FleetOptions["storeChanges"]]>([
     [
-      "final windows are forgotten with their reports",
+      "final windows are dropped with their reports",
       ["clocks", "far_clock", "ends"],
-      { altered: changedBy((lease) => ({ ...lease, finalWindows: [] })) },
+      {
+        alterWritten: rewriteLease((lease) => ({ ...lease, finalWindows: [] })),
+      },
     ],
     [
-      "only the newest final windows are kept",
+      "only the newest final windows are retained",
       ["clocks", "far_clock", "ends"],
       {
-        altered: changedBy((lease) => ({
+        alterWritten: rewriteLease((lease) => ({
           ...lease,
           finalWindows: (lease.finalWindows ?? [])
             .slice(-1)
@@ -190,9 +203,9 @@
     ],
     [
       "a lease that can't be read counts as one without final windows",
-      ["spoilt_lease", "ends", "news"],
+      ["corrupt_lease", "ends", "gossip"],
       {
-        spoilt: changedBy((lease) => ({
+        corruptValue: rewriteLease((lease) => ({
           ...lease,
           finalWindows: [],
           reports: {},
@@ -201,9 +214,9 @@
     ],
   ])(
     "%s",
-    async (_name, faults, wrong) => {
-      const played = await playAll(faults, wrong);
-      expect(played.flatMap(reportedTwice).length).toBeGreaterThan(0);
+    async (_name, faults, storeChanges) => {
+      const results = await simulateAll(faults, storeChanges);
+      expect(results.flatMap(reportedTwice).length).toBeGreaterThan(0);
     },
     TEST_MILLISECONDS,
   );
