--- a/packages/rampswitch-serving/src/membership/fleet_hosts.ts
+++ b/packages/rampswitch-serving/src/membership/fleet_hosts.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The hosts that one host knows: from the store's list, from their news and
- * from digests; which of them are relays, and what this host is itself.
+ * The hosts known to one host, from the store's list, from updates and from
+ * digests. Determines which of them are relays, and the role of this host.
  *
  * @module
  */
@@ -10,114 +10,114 @@
 import {
   DIRECT_PACE,
   needsRelays,
-  type NewsPace,
+  type GossipTiming,
   type PlannedHost,
   RELAYED_PACE,
   relayOrder,
   relaysOf,
 } from "./relay_plan.ts";
 
-/** Silence after which a host no longer counts, in milliseconds. */
-const GONE_MILLISECONDS = 10_000;
+/** Silence after which a host is no longer counted, in milliseconds. */
+const HOST_SILENCE_MILLISECONDS = 10_000;
 
-/** Silence after which a host's clock no longer counts, in milliseconds. */
-const CLOCK_MILLISECONDS = 5_000;
+/** Silence after which the clock of a host is ignored, in milliseconds. */
+const CLOCK_LIFETIME_MILLISECONDS = 5_000;
 
 /**
- * A host that was listed this lately may be a relay before it is heard, in
- * milliseconds: a start and some messages.
+ * Time after its first listing in which a host may be selected as a relay before its
+ * first update arrives, in milliseconds: enough for a start and a few messages.
  */
 const NEWLY_LISTED_MILLISECONDS = 3_000;
 
 /**
- * After this long without its relays or any host of its data hall, a host takes
- * itself to be the only one there; in milliseconds, some rounds of tries.
+ * Time after which a host that receives nothing from its relays and its data hall
+ * acts as the only host there, in milliseconds: several rounds of candidates.
  */
-const ALONE_MILLISECONDS = 6_000;
+const RELAY_SEARCH_MILLISECONDS = 6_000;
 
 /**
- * Silence after which a host no longer gives turns at limited servers, in
- * milliseconds, by what the asking host does with news: a few lost messages.
+ * Silence after which a host no longer counts as a permit holder, in milliseconds, by
+ * the role of the host that counts: a few lost messages.
  */
-const NO_HOLDER_MILLISECONDS: Readonly<Record<HostRole, number>> = {
+const PERMIT_HOLDER_SILENCE_MILLISECONDS: Readonly<Record<HostRole, number>> = {
   direct: 1_500,
   relay: 3_000,
   member: 3_000,
 };
 
-/** Hosts tried in a round while no relay of a data hall is heard. */
-const TRIED_EACH_ROUND = 4;
+/** Hosts contacted in each round while all relays of a data hall are silent. */
+const CANDIDATES_EACH_ROUND = 4;
 
-/** What a host does with news. */
+/** Role of a host in gossip. */
 export type HostRole =
-  /** The fleet is small: every host tells every other. */
+  /** The fleet is small: every host sends updates to every other. */
   | "direct"
-  /** It gathers the news of its data hall and tells digests. */
+  /** Collects the updates of its data hall and sends digests. */
   | "relay"
-  /** It tells its relays and hears digests. */
+  /** Sends updates to its relays and receives digests. */
   | "member";
 
-/** Pace of the news by role. */
-export const PACE_BY_ROLE: Readonly<Record<HostRole, NewsPace>> = {
+/** Timing of gossip by role. */
+export const PACE_BY_ROLE: Readonly<Record<HostRole, GossipTiming>> = {
   direct: DIRECT_PACE,
   relay: RELAYED_PACE,
   member: RELAYED_PACE,
 };
 
-/** Rounds of news until a host's work is known to another one. */
-const NEWS_ROUNDS: Readonly<Record<HostRole, number>> = {
+/** Rounds of gossip until the work of a host is known to another one. */
+const GOSSIP_ROUNDS: Readonly<Record<HostRole, number>> = {
   direct: 1,
   relay: 2,
   member: 2,
 };
 
-/** Age of what a host knows of the others' work, in milliseconds. */
+/** Age of a host's information on the work of others, in milliseconds. */
 export function newsLagMilliseconds(role: HostRole): number {
-  return PACE_BY_ROLE[role].interval * NEWS_ROUNDS[role];
+  return PACE_BY_ROLE[role].interval * GOSSIP_ROUNDS[role];
 }
 
-/** Another host. */
+/** State of another host. Times are in milliseconds of the monotonic clock. */
 export interface KnownHost extends PlannedHost {
   readonly address: string;
-  /** `undefined` before its first news. */
+  /** `undefined` before its first update. */
   readonly incarnation: string | undefined;
   readonly sequence: number;
-  /** When its news last came, from itself or from a relay. */
-  readonly heardAt: number;
-  /** When it was first found in the store's list. */
+  /** When its newest update was received, here or by the relay that forwarded it. */
+  readonly receivedAt: number;
+  /** When it was first found in the store's list or sent its first update. */
   readonly listedAt: number;
-  /** When it last sent a message as a relay. */
+  /** When it last sent a message that requested no digests, as relays do. */
   readonly relayAt: number;
-  /** When it last asked this host for digests. */
-  readonly askedAt: number;
+  /** When it last requested digests; `-Infinity` if its newest message did not. */
+  readonly digestRequestedAt: number;
   readonly stopping: boolean;
-  readonly news: PeerNews | undefined;
+  readonly update: PeerNews | undefined;
 }
 
-/** Entry of a host in the store's list. */
+/** A host in the store's list. */
 export interface ListedHost extends PlannedHost {
   readonly address: string;
 }
 
-interface HeardDigest {
+interface ReceivedDigest {
   readonly digest: FleetDigest;
   readonly at: number;
 }
 
-/** Other hosts, by name. */
+/** The other hosts of the fleet. */
 export class FleetHosts {
   readonly #self: PlannedHost;
   readonly #hosts = new Map<string, KnownHost>();
-  /** Ended lives of each host; their late news is passed over. */
-  readonly #formerLives = new Map<string, ReadonlySet<string>>();
+  /** Former incarnations of each host; their late updates are ignored. */
+  readonly #formerIncarnations = new Map<string, ReadonlySet<string>>();
   #listedCount = 0;
-  #digest: HeardDigest | undefined;
+  #digest: ReceivedDigest | undefined;
 
   constructor(self: PlannedHost) {
     this.#self = self;
   }
 
-  /** One host. */
+  /** A host by name. */
   get(name: string): KnownHost | undefined {
     return this.#hosts.get(name);
   }
@@ -127,8 +127,8 @@
     return [...this.#hosts.values()];
   }
 
-  /** Takes in the store's list; returns the names that were not known. */
-  listed(entries: readonly ListedHost[], now: number): readonly string[] {
+  /** Adds the hosts of the store's list; returns the names of the new ones. */
+  addListed(entries: readonly ListedHost[], now: number): readonly string[] {
     this.#listedCount = entries.length;
     const unknown = entries.filter(
       ({ name }) => name !== this.#self.name && !this.#hosts.has(name),
@@ -138,247 +138,259 @@
         ...entry,
         incarnation: undefined,
         sequence: -1,
-        heardAt: -Infinity,
+        receivedAt: -Infinity,
         listedAt: now,
         relayAt: -Infinity,
-        askedAt: -Infinity,
+        digestRequestedAt: -Infinity,
         stopping: false,
-        news: undefined,
+        update: undefined,
       }),
     );
     return unknown.map(({ name }) => name);
   }
 
-  /** Takes in news; tells whether it is newer than what was known. */
-  heard(news: PeerNews, at: number): boolean {
-    const known = this.#hosts.get(news.host);
-    const sameLife = known?.incarnation === news.incarnation;
-    if (sameLife && news.sequence <= known.sequence) return false;
-    const former = this.#formerLives.get(news.host) ?? new Set();
-    if (former.has(news.incarnation)) return false;
-    if (known?.incarnation !== undefined && !sameLife) {
-      this.#formerLives.set(
-        news.host,
-        new Set([...former, known.incarnation].slice(-KEPT_LIVES)),
+  /** Stores an update; returns whether it is newer than the known one. */
+  applyUpdate(update: PeerNews, at: number): boolean {
+    const known = this.#hosts.get(update.host);
+    const isSameIncarnation = known?.incarnation === update.incarnation;
+    if (isSameIncarnation && update.sequence <= known.sequence) return false;
+    const former = this.#formerIncarnations.get(update.host) ?? new Set();
+    if (former.has(update.incarnation)) return false;
+    if (known?.incarnation !== undefined && !isSameIncarnation) {
+      this.#formerIncarnations.set(
+        update.host,
+        new Set(
+          [...former, known.incarnation].slice(-MAXIMUM_FORMER_INCARNATIONS),
+        ),
       );
     }
-    this.#hosts.set(news.host, {
-      name: news.host,
-      dataHall: news.dataHall,
-      cores: news.cores,
-      address: news.address,
-      incarnation: news.incarnation,
-      sequence: news.sequence,
-      heardAt: at,
+    this.#hosts.set(update.host, {
+      name: update.host,
+      dataHall: update.dataHall,
+      cores: update.cores,
+      address: update.address,
+      incarnation: update.incarnation,
+      sequence: update.sequence,
+      receivedAt: at,
       listedAt: known?.listedAt ?? at,
       relayAt: known?.relayAt ?? -Infinity,
-      askedAt: known?.askedAt ?? -Infinity,
-      stopping: news.stopping,
-      news,
+      digestRequestedAt: known?.digestRequestedAt ?? -Infinity,
+      stopping: update.stopping,
+      update,
     });
     return true;
   }
 
-  /** Notes how a message's sender takes part in the news. */
-  sentBy(name: string, wantsDigest: boolean, now: number): void {
+  /** Records whether the sender of a message requests digests; relays do not. */
+  recordSender(name: string, wantsDigest: boolean, now: number): void {
     const known = this.#hosts.get(name);
     if (known === undefined) return;
     this.#hosts.set(name, {
       ...known,
       relayAt: wantsDigest ? known.relayAt : now,
-      askedAt: wantsDigest ? now : -Infinity,
+      digestRequestedAt: wantsDigest ? now : -Infinity,
     });
   }
 
-  /** Takes in a relay's digest. */
-  digested(digest: FleetDigest, now: number): void {
+  /** Stores the digest of a relay. */
+  applyDigest(digest: FleetDigest, now: number): void {
     this.#digest = { digest, at: now };
   }
 
-  /** Names of the hosts that are heard, or all where relays tell; this one too. */
+  /**
+   * Names of the hosts that are not silent, this one included; with a recent digest,
+   * all known hosts.
+   */
   present(now: number): readonly string[] {
-    const oldest = now - GONE_MILLISECONDS;
-    const byRelays = this.#freshDigest(now) !== undefined;
+    const oldest = now - HOST_SILENCE_MILLISECONDS;
+    const hasDigest = this.#freshDigest(now) !== undefined;
     const others = this.all().filter(
-      (host) => byRelays || Math.max(host.heardAt, host.listedAt) >= oldest,
+      (host) => hasDigest || Math.max(host.receivedAt, host.listedAt) >= oldest,
     );
     return [this.#self.name, ...others.map(({ name }) => name)];
   }
 
   /**
-   * Names of the hosts that may give turns at limited servers: all that are heard,
-   * or the relays where there are some. One that is about to end gives none.
+   * Names of the hosts that may grant permits for limited servers: all hosts that are
+   * not silent, or the relays if there are any. A stopping host grants none.
    */
-  turnHolders(
+  permitHolders(
     now: number,
     { stopping }: { readonly stopping: boolean },
   ): readonly string[] {
     const role = this.role(now);
     if (role === "member") return this.#freshDigest(now)?.turnHolders ?? [];
-    const oldest = now - NO_HOLDER_MILLISECONDS[role];
+    const oldest = now - PERMIT_HOLDER_SILENCE_MILLISECONDS[role];
     const others = this.all().filter(
-      ({ heardAt, relayAt, stopping }) =>
-        !stopping && (role === "relay" ? relayAt : heardAt) >= oldest,
+      ({ receivedAt, relayAt, stopping }) =>
+        !stopping && (role === "relay" ? relayAt : receivedAt) >= oldest,
     );
     const names = others.map(({ name }) => name);
     return stopping ? names : [this.#self.name, ...names];
   }
 
-  /** What this host does with news now. */
+  /** Current role of this host. */
   role(now: number): HostRole {
-    if (!needsRelays(Math.max(this.#listedCount, this.#heardCount(now) + 1))) {
+    if (!needsRelays(Math.max(this.#listedCount, this.#activeCount(now) + 1))) {
       return "direct";
     }
-    if (this.#seeksRelays(now)) return "member";
+    if (this.#isSeekingRelays(now)) return "member";
     return this.ownRelays(now).includes(this.#self.name) ? "relay" : "member";
   }
 
-  /** Whether its relays fell silent, and no other host was heard since. */
-  #seeksRelays(now: number): boolean {
+  /**
+   * Whether the relays and all other hosts of the data hall are silent, for a shorter
+   * time than the search for relays may take.
+   */
+  #isSeekingRelays(now: number): boolean {
     const silence = now - (this.#digest?.at ?? -Infinity);
-    const heard = this.all().some(
+    const hasActiveHosts = this.all().some(
       (host) =>
         host.dataHall === this.#self.dataHall &&
-        now - host.heardAt < RELAYED_PACE.silence,
+        now - host.receivedAt < RELAYED_PACE.silence,
     );
     return (
-      !heard && silence >= RELAYED_PACE.silence && silence < ALONE_MILLISECONDS
+      !hasActiveHosts &&
+      silence >= RELAYED_PACE.silence &&
+      silence < RELAY_SEARCH_MILLISECONDS
     );
   }
 
   /**
-   * Relays of this host's data hall: those that its own relays name, which hear
-   * more hosts, or else those that it would plan.
+   * Relays of this host's data hall: those in the newest digest, as relays receive
+   * updates from more hosts, or else those that this host selects itself.
    */
   ownRelays(now: number): readonly string[] {
     return (
-      this.#freshDigest(now)?.relays ?? this.#relays(this.#self.dataHall, now)
+      this.#freshDigest(now)?.relays ??
+      this.#plannedRelays(this.#self.dataHall, now)
     );
   }
 
-  /** Hosts in the list that was read last; this one included once it stands there. */
+  /** Number of hosts in the newest list; includes this one once it is listed. */
   get listedCount(): number {
     return this.#listedCount;
   }
 
-  /** Hosts that may be serving, heard or just listed; this one included. */
+  /** Number of hosts that may be serving: not silent or just listed, and this one. */
   size(now: number): number {
-    const told = this.#freshDigest(now)?.hosts;
-    if (told !== undefined) return told;
-    const oldest = now - GONE_MILLISECONDS;
+    const reported = this.#freshDigest(now)?.hosts;
+    if (reported !== undefined) return reported;
+    const oldest = now - HOST_SILENCE_MILLISECONDS;
     const recent = this.all().filter(
-      (host) => Math.max(host.heardAt, host.listedAt) >= oldest,
+      (host) => Math.max(host.receivedAt, host.listedAt) >= oldest,
     );
     const needed = needsRelays(this.#listedCount) && this.#digest !== undefined;
     return needed ? this.#listedCount : 1 + recent.length;
   }
 
-  /** Data halls that have hosts. */
+  /** Number of data halls that have hosts. */
   get dataHalls(): number {
     const names = this.all().map(({ dataHall }) => dataHall);
     return new Set([this.#self.dataHall, ...names]).size;
   }
 
   /**
-   * The relay of this data hall that decides on limits for a member. Where all
-   * hosts have just started, the one that they would plan is asked before the
-   * first digest came.
+   * The relay of this data hall that decides on limits for a member. Before the first
+   * digest, for instance when all hosts have just started, it is the first relay that
+   * this host selects itself.
    */
   decider(now: number): KnownHost | undefined {
-    return this.#named(this.ownRelays(now))[0];
+    return this.#hostsNamed(this.ownRelays(now))[0];
   }
 
-  /** Offsets of other hosts' clocks that are known and recent. */
+  /** Offsets of other hosts' clocks from the monotonic time of this one. */
   clockOffsets(now: number): readonly number[] {
-    const oldest = now - CLOCK_MILLISECONDS;
+    const oldest = now - CLOCK_LIFETIME_MILLISECONDS;
     return this.all()
-      .filter((host) => host.heardAt >= oldest)
-      .flatMap(({ news, heardAt }) =>
-        news === undefined ? [] : [news.wallTime - heardAt],
+      .filter((host) => host.receivedAt >= oldest)
+      .flatMap(({ update, receivedAt }) =>
+        update === undefined ? [] : [update.wallTime - receivedAt],
       );
   }
 
-  /** Hosts that asked this one for digests lately. */
-  asking(now: number): readonly KnownHost[] {
+  /** Hosts that recently requested digests from this one. */
+  digestRequesters(now: number): readonly KnownHost[] {
     return this.all().filter(
-      (host) => now - host.askedAt < RELAYED_PACE.silence,
+      (host) => now - host.digestRequestedAt < RELAYED_PACE.silence,
     );
   }
 
-  /** Hosts of this data hall that tell this one their news themselves. */
-  telling(now: number): readonly KnownHost[] {
+  /** Hosts of this data hall that send their updates to this one themselves. */
+  directSenders(now: number): readonly KnownHost[] {
     return this.all().filter(
       (host) =>
         host.dataHall === this.#self.dataHall &&
-        now - Math.max(host.askedAt, host.relayAt) < RELAYED_PACE.silence,
+        now - Math.max(host.digestRequestedAt, host.relayAt) <
+          RELAYED_PACE.silence,
     );
   }
 
-  /** Relays that a member tells its news to. */
-  relaysToTell(now: number, round: number): readonly KnownHost[] {
-    const told = this.#freshDigest(now)?.relays;
-    return told === undefined
-      ? this.#tried(this.#self.dataHall, round)
-      : this.#named(told);
+  /** Relays that a member sends its updates to. */
+  relaysToUpdate(now: number, round: number): readonly KnownHost[] {
+    const relays = this.#freshDigest(now)?.relays;
+    return relays === undefined
+      ? this.#candidateRelays(this.#self.dataHall, round)
+      : this.#hostsNamed(relays);
   }
 
-  /** Other relays that a relay tells, in all data halls. */
+  /** Other relays that a relay sends updates to, in all data halls. */
   otherRelays(now: number, round: number): readonly KnownHost[] {
     const dataHalls = new Set(this.all().map(({ dataHall }) => dataHall));
     return [...dataHalls].flatMap((dataHall) => {
-      const heard = this.all().filter(
+      const active = this.all().filter(
         (host) =>
           host.dataHall === dataHall &&
           !host.stopping &&
           now - host.relayAt < RELAYED_PACE.silence,
       );
-      const planned = this.#named(this.#relays(dataHall, now));
-      const known = [...new Set([...heard, ...planned])];
-      return heard.length > 0 ? known : this.#tried(dataHall, round);
+      const planned = this.#hostsNamed(this.#plannedRelays(dataHall, now));
+      const known = [...new Set([...active, ...planned])];
+      return active.length > 0 ? known : this.#candidateRelays(dataHall, round);
     });
   }
 
-  #relays(dataHall: string, now: number): readonly string[] {
+  #plannedRelays(dataHall: string, now: number): readonly string[] {
     const present = this.all().filter(
       (host) =>
         !host.stopping &&
-        (now - host.heardAt < RELAYED_PACE.silence ||
+        (now - host.receivedAt < RELAYED_PACE.silence ||
           now - host.listedAt < NEWLY_LISTED_MILLISECONDS),
     );
     return relaysOf([this.#self, ...present], dataHall);
   }
 
-  /** Some hosts of a data hall in turn, the likely relays first. */
-  #tried(dataHall: string, round: number): readonly KnownHost[] {
+  /** A few hosts of a data hall, rotated by round; the likely relays come first. */
+  #candidateRelays(dataHall: string, round: number): readonly KnownHost[] {
     const names = relayOrder(
       this.all().filter((host) => !host.stopping),
       dataHall,
     );
-    const start = (round * TRIED_EACH_ROUND) % Math.max(1, names.length);
-    return this.#named(
+    const start = (round * CANDIDATES_EACH_ROUND) % Math.max(1, names.length);
+    return this.#hostsNamed(
       [...names.slice(start), ...names.slice(0, start)].slice(
         0,
-        TRIED_EACH_ROUND,
+        CANDIDATES_EACH_ROUND,
       ),
     );
   }
 
-  #named(names: readonly string[]): readonly KnownHost[] {
+  #hostsNamed(names: readonly string[]): readonly KnownHost[] {
     return names.flatMap((name) => this.#hosts.get(name) ?? []);
   }
 
   #freshDigest(now: number): FleetDigest | undefined {
-    const heard = this.#digest;
-    return heard !== undefined && now - heard.at < RELAYED_PACE.silence
-      ? heard.digest
+    const received = this.#digest;
+    return received !== undefined && now - received.at < RELAYED_PACE.silence
+      ? received.digest
       : undefined;
   }
 
-  #heardCount(now: number): number {
-    const oldest = now - GONE_MILLISECONDS;
-    return this.all().filter((host) => host.heardAt >= oldest).length;
+  #activeCount(now: number): number {
+    const oldest = now - HOST_SILENCE_MILLISECONDS;
+    return this.all().filter((host) => host.receivedAt >= oldest).length;
   }
 }
 
-/** Ended lives that are remembered of each host. */
-const KEPT_LIVES = 4;
+/** Maximum number of former incarnations that are retained for each host. */
+const MAXIMUM_FORMER_INCARNATIONS = 4;
--- a/packages/rampswitch-serving/src/membership/fleet_time.ts
+++ b/packages/rampswitch-serving/src/membership/fleet_time.ts
@@ -1,135 +1,134 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The time of day on which the hosts agree. Each host samples the median of all
- * clocks and carries the median of its samples on by its steady clock, so that a
- * step of most clocks for some seconds moves nothing. Hosts tell each other what
- * they carry and for how long; those that have carried it for long count for more,
- * so that a host which starts while clocks are off learns it from the others.
+ * Fleet time: the time of day on which the hosts agree. Each host samples the
+ * median of all clocks. Its estimate is the median of its samples, advanced by its
+ * monotonic clock, so that a step of most clocks for a few seconds does not change
+ * it. Hosts send their estimates and numbers of samples to each other. Estimates
+ * with more samples have more weight, so that a host that starts while clocks are
+ * wrong takes the time from the others.
  *
  * @module
  */
 
-/** Time between samples, in milliseconds; some exchanges of news. */
-const SAMPLE_MILLISECONDS = 500;
+/** Time between samples, in milliseconds; longer than a round of gossip. */
+const SAMPLE_INTERVAL_MILLISECONDS = 500;
 
 /**
- * Samples that are kept: two minutes. Clocks that most hosts agree on for more than
- * half of it are followed; a step that heals sooner is not.
+ * Maximum number of retained samples: two minutes. The estimate follows a step of
+ * most clocks that lasts more than half of that time, and no shorter one.
  */
-const KEPT_SAMPLES = 240;
+const MAXIMUM_SAMPLES = 240;
 
-/** Silence after which what a host told no longer counts, in milliseconds. */
-const TOLD_MILLISECONDS = 5_000;
+/** Time after which the estimate of a host is discarded, in milliseconds. */
+const ESTIMATE_LIFETIME_MILLISECONDS = 5_000;
 
 /**
- * Time after a start in which a host waits for the clocks of most others before it
- * relies on the time of day, in milliseconds; some exchanges of news.
+ * Maximum time after a start in which a host waits for the estimates of most others
+ * before it relies on fleet time, in milliseconds; several rounds of gossip.
  */
-const ALONE_MILLISECONDS = 5_000;
+const SETTLING_MILLISECONDS = 5_000;
 
-/** A time of day and how well it is supported. */
-export interface CarriedTime {
-  /** Milliseconds. */
+/** An estimated time of day and the number of samples that support it. */
+export interface TimeEstimate {
+  /** Time of day, in milliseconds. */
   readonly wallTime: number;
-  /** Samples behind it. */
+  /** Number of clock samples that support the estimate. */
   readonly samples: number;
 }
 
-interface Told {
-  /** Time of day less this host's steady time. */
+interface ReceivedEstimate {
+  /** Time of day minus this host's monotonic time, in milliseconds. */
   readonly offset: number;
   readonly samples: number;
   readonly at: number;
 }
 
-/** The time of day as one host knows it. */
+/** Estimates fleet time at one host. */
 export class FleetTime {
   readonly #ownWallTime: () => number;
   readonly #startedAt: number;
-  /** Medians of all clocks less the steady time, the newest last. */
+  /** Median offsets of all clocks from the monotonic time, the newest last. */
   #samples: readonly number[] = [];
-  /** Median of the samples. */
-  #carried: number | undefined;
+  /** Median of the samples; `undefined` before the first one. */
+  #sampledOffset: number | undefined;
   #sampledAt = -Infinity;
-  readonly #told = new Map<string, Told>();
-  /** Offset on which the hosts agree, as of the last round of news. */
-  #agreed: number | undefined;
+  readonly #received = new Map<string, ReceivedEstimate>();
+  /** Offset of fleet time, computed once in each round of gossip. */
+  #fleetOffset: number | undefined;
 
-  /** Begins at a steady time with this host's own time of day. */
+  /** Starts at a monotonic time with this host's own time of day. */
   constructor(ownWallTime: () => number, now: number) {
     this.#ownWallTime = ownWallTime;
     this.#startedAt = now;
   }
 
-  /** The agreed time of day at a steady time, in milliseconds. */
+  /** Fleet time at a monotonic time, in milliseconds. */
   at(now: number): number {
-    this.#agreed ??= weightedMedian(this.#voices(now));
-    return now + this.#agreed;
+    this.#fleetOffset ??= weightedMedian(this.#votes(now));
+    return now + this.#fleetOffset;
   }
 
-  /** What this host has learned from clocks itself, to tell the others. */
-  carried(now: number): CarriedTime {
+  /** Estimate from this host's own samples, to send to other hosts. */
+  ownEstimate(now: number): TimeEstimate {
     return {
-      wallTime: Math.round(now + this.#carriedOffset(now)),
+      wallTime: Math.round(now + this.#ownOffset(now)),
       samples: this.#samples.length,
     };
   }
 
-  /** The agreed time of day and all that supports it, to tell who hears only this. */
-  supported(now: number): CarriedTime {
-    const samples = this.#voices(now).reduce(
-      (sum, one) => sum + one.samples,
-      0,
-    );
+  /** Fleet time and all samples that support it, to send in digests. */
+  fleetEstimate(now: number): TimeEstimate {
+    const samples = this.#votes(now).reduce((sum, one) => sum + one.samples, 0);
     return { wallTime: this.at(now), samples };
   }
 
   /**
-   * Agrees anew on what was told since the last round of news, and takes a sample of
-   * this host's clock and others when it is time for one.
+   * Discards old estimates and the computed fleet time, and takes a sample of this
+   * host's clock and `others` if the sample interval has passed.
    */
   sample(others: readonly number[], now: number): void {
-    this.#agreed = undefined;
-    [...this.#told]
-      .filter(([, { at }]) => now - at >= TOLD_MILLISECONDS)
-      .forEach(([host]) => this.#told.delete(host));
-    if (now - this.#sampledAt < SAMPLE_MILLISECONDS) return;
+    this.#fleetOffset = undefined;
+    [...this.#received]
+      .filter(([, { at }]) => now - at >= ESTIMATE_LIFETIME_MILLISECONDS)
+      .forEach(([host]) => this.#received.delete(host));
+    if (now - this.#sampledAt < SAMPLE_INTERVAL_MILLISECONDS) return;
     this.#sampledAt = now;
     const offsets = [this.#ownWallTime() - now, ...others];
-    this.#samples = [...this.#samples, median(offsets)].slice(-KEPT_SAMPLES);
-    this.#carried = median(this.#samples);
+    this.#samples = [...this.#samples, median(offsets)].slice(-MAXIMUM_SAMPLES);
+    this.#sampledOffset = median(this.#samples);
   }
 
-  /** Takes in what a host told at a steady time. */
-  heard(host: string, { wallTime, samples }: CarriedTime, at: number): void {
-    this.#told.set(host, { offset: wallTime - at, samples, at });
+  /** Stores the estimate that a host sent at a monotonic time. */
+  receive(host: string, { wallTime, samples }: TimeEstimate, at: number): void {
+    this.#received.set(host, { offset: wallTime - at, samples, at });
   }
 
   /**
-   * Whether most of so many hosts told their time, or this host has waited for them.
+   * Whether the estimates of most of this many hosts are known, or this host has
+   * waited long enough for them.
    */
   isSettled(hosts: number, now: number): boolean {
     return (
-      2 * this.#voices(now).length > hosts ||
-      now - this.#startedAt >= ALONE_MILLISECONDS
+      2 * this.#votes(now).length > hosts ||
+      now - this.#startedAt >= SETTLING_MILLISECONDS
     );
   }
 
-  #carriedOffset(now: number): number {
-    return this.#carried ?? this.#ownWallTime() - now;
+  #ownOffset(now: number): number {
+    return this.#sampledOffset ?? this.#ownWallTime() - now;
   }
 
-  /** What this host carries, and what others told lately. */
-  #voices(now: number): readonly Omit<Told, "at">[] {
+  /** This host's own offset and the recent ones of others. */
+  #votes(now: number): readonly Omit<ReceivedEstimate, "at">[] {
     const own = {
-      offset: this.#carriedOffset(now),
+      offset: this.#ownOffset(now),
       samples: Math.max(1, this.#samples.length),
     };
     return [
       own,
-      ...[...this.#told.values()].filter(
-        ({ at }) => now - at < TOLD_MILLISECONDS,
+      ...[...this.#received.values()].filter(
+        ({ at }) => now - at < ESTIMATE_LIFETIME_MILLISECONDS,
       ),
     ];
   }
@@ -140,11 +139,11 @@
   return weightedMedian(offsets.map((offset) => ({ offset, samples: 1 })));
 }
 
-/** The lower median of offsets, each as often as it has samples. */
+/** The lower median of offsets, each weighted by its number of samples. */
 function weightedMedian(
-  voices: readonly { readonly offset: number; readonly samples: number }[],
+  votes: readonly { readonly offset: number; readonly samples: number }[],
 ): number {
-  const sorted = voices.toSorted((left, right) => left.offset - right.offset);
+  const sorted = votes.toSorted((left, right) => left.offset - right.offset);
   const half = sorted.reduce((sum, { samples }) => sum + samples, 0) / 2;
   let below = 0;
   const middle = sorted.find(({ samples }) => {
--- a/packages/rampswitch-serving/src/membership/fleet_time_test.ts
+++ b/packages/rampswitch-serving/src/membership/fleet_time_test.ts
@@ -5,21 +5,24 @@
 
 const ROUND_MILLISECONDS = 250;
 
-/** Time that a message takes to arrive and be read, in milliseconds. */
+/** Time from sending a message to reading it, in milliseconds. */
 const DELAY_MILLISECONDS = 80;
 
 const HOUR_MILLISECONDS = 3_600_000;
 
-/** A host of the simulation; true time is the steady time of all that never slept. */
+/**
+ * A host of the simulation. True time is the monotonic time of a host that was never
+ * suspended.
+ */
 interface SimulatedHost {
   readonly time: FleetTime;
-  /** How far its time of day is ahead, in milliseconds. */
+  /** Error of its time of day, in milliseconds; positive if it is ahead. */
   ahead: number;
-  /** How long its steady clock stood still, in milliseconds. */
-  slept: number;
+  /** Time for which its monotonic clock stopped, in milliseconds. */
+  suspendedFor: number;
 }
 
-/** Hosts that all hear each other. */
+/** Hosts that all exchange estimates. */
 class SimulatedFleet {
   now = 0;
   readonly hosts: SimulatedHost[] = [];
@@ -29,7 +32,7 @@
   }
 
   start(ahead: number): SimulatedHost {
-    const host = { ahead, slept: 0 };
+    const host = { ahead, suspendedFor: 0 };
     const time = new FleetTime(() => this.now + host.ahead, this.now);
     const started = Object.assign(host, { time });
     this.hosts.push(started);
@@ -45,22 +48,26 @@
   }
 
   #round(host: SimulatedHost): void {
-    const steady = this.now - host.slept;
+    const monotonic = this.now - host.suspendedFor;
     const others = this.hosts.filter((other) => other !== host);
     others.forEach((other, index) => {
-      const sentAt = this.now - DELAY_MILLISECONDS - other.slept;
-      host.time.heard(String(index), other.time.carried(sentAt), steady);
+      const sentAt = this.now - DELAY_MILLISECONDS - other.suspendedFor;
+      host.time.receive(
+        String(index),
+        other.time.ownEstimate(sentAt),
+        monotonic,
+      );
     });
     const offsets = others.map(
-      (other) => this.now - DELAY_MILLISECONDS + other.ahead - steady,
+      (other) => this.now - DELAY_MILLISECONDS + other.ahead - monotonic,
     );
-    host.time.sample(offsets, steady);
+    host.time.sample(offsets, monotonic);
   }
 
-  /** How far each host's agreed time is from the truth, in milliseconds. */
+  /** Absolute error of fleet time at each host, in milliseconds. */
   errors(): readonly number[] {
-    return this.hosts.map(({ time, slept }) =>
-      Math.abs(time.at(this.now - slept) - this.now),
+    return this.hosts.map(({ time, suspendedFor }) =>
+      Math.abs(time.at(this.now - suspendedFor) - this.now),
     );
   }
 
@@ -69,14 +76,14 @@
   }
 }
 
-describe("the time of day that hosts carry", () => {
-  test("does not drift by the delay of messages", () => {
+describe("fleet time", () => {
+  test("does not drift because of message delays", () => {
     const fleet = new SimulatedFleet(5);
     fleet.pass(HOUR_MILLISECONDS / 4);
     expect(fleet.largestError).toBeLessThanOrEqual(2 * DELAY_MILLISECONDS);
   });
 
-  test("is not moved by one clock an hour ahead, from the start on", () => {
+  test("is not changed by one clock that is an hour ahead from the start", () => {
     const fleet = new SimulatedFleet(4);
     fleet.start(HOUR_MILLISECONDS);
     fleet.pass(2 * ROUND_MILLISECONDS);
@@ -85,7 +92,7 @@
     expect(fleet.largestError).toBeLessThanOrEqual(2 * DELAY_MILLISECONDS);
   });
 
-  test("follows the clocks back where all hosts started while they were off", () => {
+  test("follows the clocks back if all hosts started while they were wrong", () => {
     const fleet = new SimulatedFleet(5, 3_000);
     fleet.pass(6_000);
     fleet.hosts.forEach((host) => {
@@ -95,23 +102,23 @@
     expect(fleet.largestError).toBeLessThanOrEqual(2 * DELAY_MILLISECONDS);
   });
 
-  test("is learned anew from the others by a host that was suspended", () => {
+  test("is restored from other hosts after a suspension", () => {
     const fleet = new SimulatedFleet(5);
     fleet.pass(60_000);
     const [suspended] = fleet.hosts;
     if (suspended === undefined) return;
-    suspended.slept = 8_000;
+    suspended.suspendedFor = 8_000;
     fleet.pass(2 * ROUND_MILLISECONDS);
     expect(fleet.largestError).toBeLessThanOrEqual(2 * DELAY_MILLISECONDS);
   });
 
-  test("is relied on once most hosts are heard, or after some seconds", () => {
+  test("is settled after estimates of most hosts, or after some seconds", () => {
     const time = new FleetTime(() => 0, 0);
     expect(time.isSettled(1, 0)).toBe(true);
     expect(time.isSettled(5, 100)).toBe(false);
-    time.heard("a", { wallTime: 100, samples: 9 }, 100);
+    time.receive("a", { wallTime: 100, samples: 9 }, 100);
     expect(time.isSettled(5, 100)).toBe(false);
-    time.heard("b", { wallTime: 100, samples: 9 }, 100);
+    time.receive("b", { wallTime: 100, samples: 9 }, 100);
     expect(time.isSettled(5, 100)).toBe(true);
     expect(time.isSettled(9, 100)).toBe(false);
     expect(time.isSettled(9, 6_000)).toBe(true);
--- a/packages/rampswitch-serving/src/membership/host_registry.ts
+++ b/packages/rampswitch-serving/src/membership/host_registry.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The store's list of hosts: this host's entry in it, and readings of it.
+ * The list of hosts in the store: registers this host and reads the list.
  *
  * @module
  */
@@ -20,20 +20,20 @@
 import type { ServingMetrics } from "../observation/mod.ts";
 import type { ListedHost } from "./fleet_hosts.ts";
 
-/** Time between readings of the list of hosts, in milliseconds. */
-const LIST_MILLISECONDS = 15_000;
+/** Time between reads of the list of hosts, in milliseconds. */
+const LIST_INTERVAL_MILLISECONDS = 15_000;
 
 /**
- * Time from the first reading to the second, in milliseconds; doubled each
- * time. Hosts that start together do not find each other in the first list.
+ * Time from the first read to the second, in milliseconds; it doubles with each
+ * read. Hosts that start together do not find each other in the first list.
  */
-const FIRST_LIST_MILLISECONDS = 400;
+const FIRST_LIST_INTERVAL_MILLISECONDS = 400;
 
-/** Time before the list is read again after a failure, in milliseconds. */
-const LIST_RETRY_MILLISECONDS = 700;
+/** Time between reads until this host is registered, in milliseconds. */
+const LIST_RETRY_INTERVAL_MILLISECONDS = 700;
 
 const HOST_SCHEMA = z.object({
-  // A datagram to anything else would throw.
+  // Sending a datagram to anything else would throw.
   address: z.string().refine(isAddress),
   dataHall: z.string().min(1),
   cores: z.number().positive(),
@@ -41,10 +41,10 @@
 
 type HostEntry = z.output<typeof HOST_SCHEMA>;
 
-/** What the registry works with. */
+/** Dependencies of the registry. */
 export interface HostRegistryParts {
   readonly store: ObjectStore;
-  /** Prefix of the keys of hosts in the store. */
+  /** Prefix of the store keys of hosts. */
   readonly hostsPrefix: string;
   readonly clock: Clock;
   readonly random: Random;
@@ -52,15 +52,15 @@
   readonly metrics: ServingMetrics;
 }
 
-/** This host's entry in the store, and the entries of all. */
+/** Keeps this host's entry in the store and reads the entries of all hosts. */
 export class HostRegistry implements AsyncDisposable {
   readonly #parts: HostRegistryParts;
   readonly #self: ListedHost;
   readonly #onListed: (hosts: readonly ListedHost[]) => void;
   readonly #repetition: Repetition;
   #registered = false;
-  /** Readings of the list that found this host in it. */
-  #readings = 0;
+  /** Reads of the list while this host was registered. */
+  #registeredReads = 0;
   #unreadable = 0;
 
   constructor(
@@ -73,35 +73,35 @@
     this.#onListed = onListed;
     this.#repetition = repeat(
       parts.clock,
-      () => jitter(parts.random, this.#wait()),
+      () => jitter(parts.random, this.#interval()),
       () => this.#read(),
     );
     this.#repetition.hurry();
-    parts.store.onEra(() => this.#lookAgain());
+    parts.store.onEra(() => this.#registerAgain());
   }
 
-  /** Whether a list was read that this host stands in. */
+  /** Whether the list was read while this host was registered. */
   get settled(): boolean {
-    return this.#readings > 0;
+    return this.#registeredReads > 0;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#repetition[Symbol.asyncDispose]();
   }
 
-  /** The copy that the store came back from may lack this host's entry. */
-  #lookAgain(): void {
+  /** Registers again: a store restored from a copy may lack this host's entry. */
+  #registerAgain(): void {
     this.#registered = false;
     this.#repetition.hurry();
   }
 
-  #wait(): number {
+  #interval(): number {
     return this.#registered
       ? Math.min(
-          LIST_MILLISECONDS,
-          FIRST_LIST_MILLISECONDS * 2 ** this.#readings,
+          LIST_INTERVAL_MILLISECONDS,
+          FIRST_LIST_INTERVAL_MILLISECONDS * 2 ** this.#registeredReads,
         )
-      : LIST_RETRY_MILLISECONDS;
+      : LIST_RETRY_INTERVAL_MILLISECONDS;
   }
 
   async #read(): Promise<void> {
@@ -117,7 +117,7 @@
       entry: entryOf(object.value),
     }));
     const own = entries.find(({ name }) => name === this.#self.name);
-    this.#tellUnreadable(
+    this.#reportUnreadable(
       entries.filter(({ entry }) => entry === undefined).length,
     );
     this.#onListed(
@@ -126,18 +126,19 @@
       ),
     );
     const found = own?.entry?.address === this.#self.address;
-    // A list may be older than the entry; one that is spoilt is never right.
-    const spoilt = own !== undefined && own.entry === undefined;
-    if (found || (this.#registered && !spoilt)) {
+    // A list may be older than this host's entry, so a missing entry is accepted once
+    // it was registered. A malformed one is always replaced.
+    const malformed = own !== undefined && own.entry === undefined;
+    if (found || (this.#registered && !malformed)) {
       this.#registered = true;
-      this.#readings += 1;
+      this.#registeredReads += 1;
       return;
     }
     await this.#register(own?.version);
   }
 
-  /** Tells of entries that are passed over, once for each change of their number. */
-  #tellUnreadable(count: number): void {
+  /** Reports the number of ignored entries, and logs it when it changes. */
+  #reportUnreadable(count: number): void {
     const { logger, metrics } = this.#parts;
     metrics.gauge("hosts_unreadable", count);
     if (count !== this.#unreadable && count > 0) {
@@ -146,7 +147,7 @@
     this.#unreadable = count;
   }
 
-  /** Writes this host's entry; the list that was read may have been stale. */
+  /** Writes this host's entry; retries once, as the list may have been stale. */
   async #register(listedVersion: number | undefined): Promise<void> {
     const { logger } = this.#parts;
     const first = await this.#put(listedVersion);
--- a/packages/rampswitch-serving/src/membership/host_registry_test.ts
+++ b/packages/rampswitch-serving/src/membership/host_registry_test.ts
@@ -15,18 +15,18 @@
   cores: 1,
 };
 
-const GOOD = { address: "127.0.0.1:9002", dataHall: "a", cores: 2 };
+const VALID = { address: "127.0.0.1:9002", dataHall: "a", cores: 2 };
 
-const BROKEN: Readonly<Record<string, string>> = {
+const MALFORMED: Readonly<Record<string, string>> = {
   text: "no JSON",
-  "no-port": JSON.stringify({ ...GOOD, address: "127.0.0.1" }),
-  "far-port": JSON.stringify({ ...GOOD, address: "127.0.0.1:70000" }),
-  "no-address": JSON.stringify({ ...GOOD, address: "" }),
-  "no-cores": JSON.stringify({ ...GOOD, cores: -1 }),
-  "no-hall": JSON.stringify({ ...GOOD, dataHall: "" }),
+  "no-port": JSON.stringify({ ...VALID, address: "127.0.0.1" }),
+  "far-port": JSON.stringify({ ...VALID, address: "127.0.0.1:70000" }),
+  "no-address": JSON.stringify({ ...VALID, address: "" }),
+  "no-cores": JSON.stringify({ ...VALID, cores: -1 }),
+  "no-hall": JSON.stringify({ ...VALID, dataHall: "" }),
 };
 
-/** A store of hosts that keeps what was put. */
+/** An in-memory store of host entries. */
 class HostStore {
   readonly era = ONE_ERA.era;
   #onEra: Parameters<ObjectStore["onEra"]>[0] = () => undefined;
@@ -34,15 +34,15 @@
     this.#onEra = listener;
   };
 
-  /** Comes back from a copy that lacks an entry. */
-  comeBackWithout(name: string): void {
+  /** Simulates a store restore from a copy that lacks an entry. */
+  restoreWithout(name: string): void {
     this.values.delete(name);
     this.#onEra({ from: 1, to: 2 });
   }
 
   readonly values = new Map<string, string>([
-    ["good", JSON.stringify(GOOD)],
-    ...Object.entries(BROKEN),
+    ["good", JSON.stringify(VALID)],
+    ...Object.entries(MALFORMED),
   ]);
 
   readonly list: ObjectStore["list"] = () =>
@@ -69,7 +69,7 @@
 }
 
 function unused(): Promise<never> {
-  return Promise.reject(new Error("the registry lists and puts alone"));
+  return Promise.reject(new Error("the registry calls only list and put"));
 }
 
 async function advance(clock: ManualClock): Promise<void> {
@@ -96,11 +96,10 @@
 }
 
 describe("the list of hosts", () => {
-  // Datagrams went to whatever stood in an entry. A port that is none threw when
-  // the next one was sent, and ended each host that had read the entry. An own
-  // entry that was spoilt after it was registered stayed so, and other hosts
-  // forgot this one.
-  test("holds the good ones beside spoilt ones, and mends the own one", async () => {
+  // Guards against two failures. An entry with an invalid port made the next send
+  // throw, which ended each host that had read the entry. An own entry that became
+  // malformed after registration was not replaced, so that other hosts lost this one.
+  test("contains valid entries beside malformed ones and repairs its own", async () => {
     const store = new HostStore();
     const clock = new ManualClock(1_000);
     const lists: (readonly string[])[] = [];
@@ -109,21 +108,22 @@
     );
     await advance(clock);
     expect(lists.at(-1)).toEqual(["good", "self"]);
-    store.values.set("self", "spoilt");
+    store.values.set("self", "malformed");
     await advance(clock);
     await advance(clock);
     expect(lists.at(-1)).toEqual(["good", "self"]);
     await registry[Symbol.asyncDispose]();
   });
 
-  // The store came back from a copy of before this host's start. It believed itself
-  // registered, and hosts that started later did not find it.
-  test("gets the own entry again where the store lost it", async () => {
+  // Guards against a host that stays unlisted after a store restore: the copy was
+  // older than the host's start, the host still counted as registered, and hosts that
+  // started later did not find it.
+  test("gets its own entry again after a store restore", async () => {
     const store = new HostStore();
     const clock = new ManualClock(1_000);
     const registry = registryOf(store, clock, () => undefined);
     await advance(clock);
-    store.comeBackWithout("self");
+    store.restoreWithout("self");
     clock.advance(100);
     await advance(clock);
     expect(store.values.has("self")).toBe(true);
--- a/packages/rampswitch-serving/src/membership/leaving_codec.ts
+++ b/packages/rampswitch-serving/src/membership/leaving_codec.ts
@@ -1,17 +1,17 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The form of servers that said that they leave in messages between hosts.
+ * Encoding of leaving backend servers in messages between hosts.
  *
  * @module
  */
 import * as z from "zod";
 import type { LeavingNews } from "../choice/mod.ts";
-import { NAME_SCHEMA } from "./turn_codec.ts";
+import { NAME_SCHEMA } from "./permit_codec.ts";
 
 /**
- * Server, start of its life, age. A key of its own in messages: hosts of a former
- * version pass over it.
+ * Server id, start time of its incarnation, age in milliseconds. The list has a
+ * message key of its own, which hosts of an earlier version ignore.
  */
 export const LEAVING_SCHEMA = z
   .array(
@@ -19,15 +19,19 @@
   )
   .optional();
 
-/** Encodes lives; nothing where there are none. */
+/** Encodes leaving incarnations; `undefined` when there are none. */
 export function encodedLeaving(
-  lives: readonly LeavingNews[],
+  incarnations: readonly LeavingNews[],
 ): z.input<typeof LEAVING_SCHEMA> {
-  if (lives.length === 0) return undefined;
-  return lives.map(({ id, born, age }) => [id, born ?? null, Math.round(age)]);
+  if (incarnations.length === 0) return undefined;
+  return incarnations.map(({ id, born, age }) => [
+    id,
+    born ?? null,
+    Math.round(age),
+  ]);
 }
 
-/** Decodes lives. */
+/** Decodes leaving incarnations. */
 export function leavingOf(
   encoded: z.output<typeof LEAVING_SCHEMA>,
 ): readonly LeavingNews[] {
--- a/packages/rampswitch-serving/src/membership/membership.ts
+++ b/packages/rampswitch-serving/src/membership/membership.ts
@@ -1,9 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The hosts of the system: found through the store, then kept by the news that
- * they tell each other, in large fleets through relays. Also the fleet's view of
- * the time of day.
+ * Membership of the fleet: hosts are discovered through the store, and then exchange
+ * updates by gossip, in large fleets through relays. Also estimates fleet time.
  *
  * @module
  */
@@ -28,59 +27,58 @@
   PACE_BY_ROLE,
 } from "./fleet_hosts.ts";
 import { FleetTime } from "./fleet_time.ts";
-import { Questions } from "./questions.ts";
+import { PendingQueries } from "./pending_queries.ts";
 import { HostRegistry } from "./host_registry.ts";
-import { type LimitRequest, LimitQuestions } from "./limit_questions.ts";
+import { type LimitRequest, LimitQueries } from "./limit_queries.ts";
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
 import type {
-  AgedNews,
+  AgedUpdate,
   FleetDigest,
   FleetView,
-  LimitQuestion,
+  LimitQuery,
   PeerMessage,
   PeerNews,
-  TurnQuestion,
+  PermitQuery,
 } from "./peer_news.ts";
 import { openPeerTransport, type PeerTransport } from "./peer_transport.ts";
 
-/**
- * Time without a round of news, in paces, that tells of a pause of the process.
- */
-const PAUSE_PACES = 2.4;
+/** Time without a round of gossip, in intervals, that indicates a paused process. */
+const PAUSE_INTERVALS = 2.4;
 
 /**
  * Time after a pause in which messages from before it may still be read, in
- * milliseconds; some turns of the loop.
+ * milliseconds: a few event-loop iterations.
  */
-const WOKEN_MILLISECONDS = 200;
+const RESUMED_MILLISECONDS = 200;
 
-/** News of other hosts in one message at most; more go into the next one. */
-const NEWS_EACH_MESSAGE = 16;
+/** Maximum number of updates in one message; more are split into further messages. */
+const UPDATES_EACH_MESSAGE = 16;
 
 /**
- * Time for the answer to a question for a turn, in milliseconds: the way between two
- * regions and some turns of a busy loop, below the shortest targets of requests.
+ * Timeout of an answer to a permit query, in milliseconds: a round trip between two
+ * regions and a few iterations of a busy event loop; below the shortest latency
+ * targets of requests.
  */
-const TURN_MILLISECONDS = 120;
+const PERMIT_ANSWER_TIMEOUT_MILLISECONDS = 120;
 
-/** Most bytes of a message; UDP takes no more than 65,507. */
-const LARGEST_DATAGRAM_BYTES = 60_000;
+/** Maximum size of a message, in bytes; the limit of UDP is 65,507. */
+const MAXIMUM_DATAGRAM_BYTES = 60_000;
 
-/** What membership works with. */
+/** Dependencies and settings of membership. */
 export interface MembershipParts {
   readonly host: string;
   readonly dataHall: string;
   /** Processor share of this host, in cores. */
   readonly cores: number;
   readonly incarnation: string;
-  /** Address for messages between hosts. */
+  /** Address that messages between hosts are received at. */
   readonly address: string;
   readonly store: ObjectStore;
-  /** Prefix of the keys of hosts in the store. */
+  /** Prefix of the store keys of hosts. */
   readonly hostsPrefix: string;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
-  /** A clock that tells of pauses, also of those over a suspension. */
+  /** A clock that also includes the time of suspensions. */
   readonly cautiousClock: Clock;
   /** Time of day of this host; it may jump. */
   readonly wallTime: () => number;
@@ -89,7 +87,7 @@
   readonly metrics: ServingMetrics;
 }
 
-/** What this host tells with each message, beside its own identity. */
+/** The part of this host's update that its owner provides; membership adds the rest. */
 export type OwnNews = Omit<
   PeerNews,
   | "host"
@@ -99,57 +97,57 @@
   | "sequence"
   | "address"
   | "wallTime"
-  | "carriedTime"
+  | "timeEstimate"
 >;
 
-/** What membership asks of its owner and tells it. */
+/** Callbacks of membership to its owner. */
 export interface MembershipListener {
-  /** News of this host for the message with this number. */
+  /** Returns this host's update for the message with this sequence number. */
   ownNews(message: {
     readonly sequence: number;
     readonly role: HostRole;
   }): OwnNews;
-  /** Whether this host is about to end. */
+  /** Whether this host is stopping. */
   stopping(): boolean;
-  /** What to tell a host about all others. */
+  /** Returns the state of all other hosts, for a digest to this host. */
   viewFor(host: string): FleetView;
-  /** A host told its news, so many milliseconds ago. */
-  onNews(news: PeerNews, age: number): void;
-  /** A relay told of the whole fleet. */
+  /** Handles an update of a host, which is `age` milliseconds old. */
+  onNews(update: PeerNews, age: number): void;
+  /** Handles a relay's digest of the fleet. */
   onDigest(digest: FleetDigest): void;
-  /** The store's list was read; these hosts in it were not known. */
+  /** Handles a read of the store's list; `hosts` are those that are new in it. */
   onListed(hosts: readonly string[]): void;
-  /** The newest configuration as this host has it from the store. */
+  /** Returns the newest configuration that this host read from the store. */
   configuration(): ChangeBatch | undefined;
-  /** A relay passed the newest configuration on. */
+  /** Handles the newest configuration, which a relay forwarded. */
   onConfiguration(changes: ChangeBatch): void;
-  /** A host asks this relay whether a request fits into a limit. */
+  /** Decides, as a relay, whether a request fits into a limit. */
   onQuestion(request: LimitRequest): LimitDecision;
-  /** A host asks this one for a turn at a limited server. */
+  /** Handles the query of a host for a permit at a limited server. */
   onTurnQuestion(request: TurnRequest): TurnReply;
-  /** A relay admitted a request too late for this host to use that. */
+  /** Handles an admission by a relay that arrived too late to be used. */
   onUnused(request: LimitRequest): void;
 }
 
-/** Peers of this host. */
+/** This host as a member of the fleet. */
 export class Membership implements AsyncDisposable {
   readonly #parts: MembershipParts;
   readonly #listener: MembershipListener;
   readonly #hosts: FleetHosts;
   readonly #transport: PeerTransport;
   readonly #ownership = new Ownership();
-  readonly #questions: LimitQuestions;
-  readonly #turnQuestions: Questions<TurnRequest, TurnReply>;
+  readonly #limitQueries: LimitQueries;
+  readonly #permitQueries: PendingQueries<TurnRequest, TurnReply>;
   readonly #registry: HostRegistry;
   readonly #time: FleetTime;
-  /** Newest message of each host that was passed on, by its life. */
-  readonly #passedOn = new Map<string, string>();
+  /** Newest update of each host that was forwarded, as `incarnation/sequence`. */
+  readonly #forwarded = new Map<string, string>();
   #round = 0;
   #role: HostRole = "direct";
-  /** When this host last sent news, on the cautious clock. */
+  /** When this host last started a round of gossip, on the cautious clock. */
   #lastRound = 0;
-  /** When this process last went on after a pause, on the cautious clock. */
-  #wokenAt = -Infinity;
+  /** When this process last resumed after a pause, on the cautious clock. */
+  #resumedAt = -Infinity;
 
   private constructor(
     parts: MembershipParts,
@@ -162,26 +160,27 @@
     this.#listener = listener;
     this.#hosts = new FleetHosts({ name: host, dataHall, cores });
     this.#time = new FleetTime(parts.wallTime, clock.now());
-    this.#questions = new LimitQuestions(clock, (request) =>
+    this.#limitQueries = new LimitQueries(clock, (request) =>
       listener.onUnused(request),
     );
-    this.#turnQuestions = new Questions(clock, {
-      answerMilliseconds: TURN_MILLISECONDS,
-      // A turn that comes too late is lost.
+    this.#permitQueries = new PendingQueries(clock, {
+      answerTimeoutMilliseconds: PERMIT_ANSWER_TIMEOUT_MILLISECONDS,
+      // A permit that arrives too late is lost.
       onLate: ({ service }, { kind }) => {
         parts.metrics.event(`turn_late_${kind}`);
         parts.logger.debug("answer on a turn came late", { service, kind });
       },
     });
-    // A host that finds others in the list tells them at once: where all hosts
-    // were killed together, relays hear their members 20 ms after the start
-    // instead of 400 ms, and refuse nobody for not having heard them.
+    // A host that finds others in its first list sends them an update at once. After
+    // all hosts were killed together, relays then receive updates of their members
+    // 20 ms after the start instead of 400 ms, and refuse no requests because members
+    // are silent.
     this.#registry = this.#ownership.own(
       new HostRegistry(
         { name: host, dataHall, cores, address: transport.address },
         parts,
         (listed) => {
-          const unknown = this.#hosts.listed(listed, clock.now());
+          const unknown = this.#hosts.addListed(listed, clock.now());
           listener.onListed(unknown);
           if (this.#round === 0 && unknown.length > 0) this.tell();
         },
@@ -199,7 +198,7 @@
     );
   }
 
-  /** Opens the socket and begins to exchange news. */
+  /** Opens the socket and starts gossip. */
   static async open(
     parts: MembershipParts,
     listener: MembershipListener,
@@ -218,14 +217,14 @@
     return membership;
   }
 
-  /** Hosts that may be serving, heard or just listed; this one included. */
+  /** Number of hosts that may be serving: not silent or just listed, and this one. */
   get size(): number {
     return this.#hosts.size(this.#parts.clock.now());
   }
 
   /**
-   * The same, and no fewer than in the list that was read last, whoever is heard;
-   * `undefined` before one was read.
+   * The same, but at least the number of hosts in the newest list, silent or not;
+   * `undefined` before a list was read.
    */
   get listedSize(): number | undefined {
     return this.#registry.settled
@@ -234,49 +233,49 @@
   }
 
   /**
-   * Whether this host hears enough of the others to hold duties. Before it has
-   * read the list of hosts, each host of a large fleet takes itself for one of a
-   * few: 42 of 77 that started together tried to take the lease.
+   * Whether this host receives enough updates from others to hold duties. The list of
+   * hosts must have been read: before that, each host of a large fleet acts as in a
+   * small one, and 42 of 77 that started together tried to take the lease.
    */
   get mayHoldDuties(): boolean {
     return this.#registry.settled && this.#role !== "member";
   }
 
-  /** What this host does with news. */
+  /** Role of this host in gossip. */
   get role(): HostRole {
     return this.#role;
   }
 
   /**
-   * Hosts that decide on limits for others: one relay of each data hall, where
-   * this host is a relay.
+   * Number of hosts that decide on limits for others: one relay of each data hall.
+   * `undefined` if this host is no relay.
    */
   get deciders(): number | undefined {
     return this.#role === "relay" ? this.#hosts.dataHalls : undefined;
   }
 
   /**
-   * Asks the first relay of this data hall whether a request fits into a limit;
-   * `undefined` where there is none or it does not answer in time.
+   * Queries the first relay of this data hall whether a request fits into a limit.
+   * Resolves to `undefined` if there is no relay or it does not answer in time.
    */
   async ask(request: LimitRequest): Promise<LimitDecision | undefined> {
     const relay = this.#hosts.decider(this.#parts.clock.now());
     if (relay === undefined) return undefined;
-    return this.#questions.ask(request, (id) => {
-      const question = { ...request, id, address: this.#transport.address };
-      const datagram = encodeMessage({ kind: "question", question });
+    return this.#limitQueries.query(request, (id) => {
+      const query = { ...request, id, address: this.#transport.address };
+      const datagram = encodeMessage({ kind: "limit_query", query });
       this.#transport.send(relay.address, datagram);
     });
   }
 
-  /** Hosts that may give turns at limited servers, in the same order at all. */
+  /** Names of the hosts that may grant permits for limited servers. */
   get turnHolders(): readonly string[] {
-    return this.#turnHolders(this.#parts.clock.now());
+    return this.#permitHolders(this.#parts.clock.now());
   }
 
   /**
-   * Asks a host for a turn at a limited server; `undefined` where it is not known or
-   * does not answer in time.
+   * Queries a host for a permit at a limited server. Resolves to `undefined` if the
+   * host is unknown or does not answer in time.
    */
   async askTurn(
     holder: string,
@@ -284,25 +283,26 @@
   ): Promise<TurnReply | undefined> {
     const known = this.#hosts.get(holder);
     if (known === undefined) return undefined;
-    return this.#turnQuestions.ask(request, (id) => {
-      const question = { ...request, id, address: this.#transport.address };
-      const datagram = encodeMessage({ kind: "turn_question", question });
+    return this.#permitQueries.query(request, (id) => {
+      const query = { ...request, id, address: this.#transport.address };
+      const datagram = encodeMessage({ kind: "permit_query", query });
       this.#transport.send(known.address, datagram);
     });
   }
 
-  /** This host's turn among all that are known, in an order drawn by a key. */
+  /** Rank of this host among all present hosts, in an order derived from a key. */
   turn(key: string): TrialTurn {
     const names = this.#hosts.present(this.#parts.clock.now());
     const order = rendezvousOrder(key, names);
     return {
       rank: order.indexOf(this.#parts.host),
-      // Not the usual lag: two messages may be lost, and two trials cost two servers.
+      // Longer than the usual lag, so that two messages may be lost: if two hosts try
+      // the same request, two servers may end.
       lagMilliseconds: PACE_BY_ROLE[this.#role].silence,
     };
   }
 
-  /** The other hosts that are present, each with the life of its process. */
+  /** The other present hosts, each as `name/incarnation`. */
   get lives(): readonly string[] {
     return this.#hosts
       .present(this.#parts.clock.now())
@@ -310,63 +310,66 @@
       .map((name) => `${name}/${this.#hosts.get(name)?.incarnation ?? ""}`);
   }
 
-  /** Asks a relay for the newest configuration. */
+  /** Requests the newest configuration from a relay. */
   askConfiguration(relay: string): void {
     const known = this.#hosts.get(relay);
     if (known === undefined) return;
-    const question = { address: this.#transport.address };
+    const query = { address: this.#transport.address };
     const datagram = encodeMessage({
-      kind: "configuration_question",
-      question,
+      kind: "configuration_query",
+      query,
     });
     this.#transport.send(known.address, datagram);
   }
 
   /**
-   * The time of day on which most hosts agree, in milliseconds: no clock that steps
-   * moves it, nor most of them for some seconds.
+   * Fleet time, in milliseconds. A step of one clock does not change it, nor does a
+   * step of most clocks for a few seconds.
    */
   agreedWallTime(): number {
     return this.#time.at(this.#parts.clock.now());
   }
 
-  /** Whether enough hosts are heard for the time of day to be relied on. */
+  /** Whether enough hosts sent their estimates to rely on fleet time. */
   get isTimeSettled(): boolean {
     const now = this.#parts.clock.now();
     return this.#time.isSettled(this.listedSize ?? this.size, now);
   }
 
-  /** Sends news to the hosts whose turn it is. */
+  /** Runs a round of gossip: sends updates and digests as the role requires. */
   tell(): void {
     const now = this.#parts.clock.now();
-    if (this.#isPaused()) this.#wokenAt = this.#parts.cautiousClock.now();
+    if (this.#isPaused()) this.#resumedAt = this.#parts.cautiousClock.now();
     this.#lastRound = this.#parts.cautiousClock.now();
     this.#round += 1;
     this.#changeRole(this.#hosts.role(now));
     this.#time.sample(this.#hosts.clockOffsets(now), now);
     if (this.#hosts.all().length === 0) return;
-    const own = { news: this.#ownNews(), age: 0 };
-    this.#tellOthers[this.#role](own, now);
-    this.#tellDigests(now);
+    const own = { update: this.#ownUpdate(), age: 0 };
+    this.#sendByRole[this.#role](own, now);
+    this.#sendDigests(now);
   }
 
-  readonly #tellOthers: Readonly<
-    Record<HostRole, (own: AgedNews, now: number) => void>
+  readonly #sendByRole: Readonly<
+    Record<HostRole, (own: AgedUpdate, now: number) => void>
   > = {
-    direct: (own) => this.#send([own], this.#hosts.all()),
+    direct: (own) => this.#sendUpdates([own], this.#hosts.all()),
     member: (own, now) =>
-      this.#send([own], this.#hosts.relaysToTell(now, this.#round)),
+      this.#sendUpdates([own], this.#hosts.relaysToUpdate(now, this.#round)),
     relay: (own, now) => {
-      const gathered = this.#gathered(now);
+      const gathered = this.#updatesToForward(now);
       const relays = this.#hosts.otherRelays(now, this.#round);
-      this.#send([own, ...gathered.slice(0, NEWS_EACH_MESSAGE - 1)], relays);
-      chunks(gathered.slice(NEWS_EACH_MESSAGE - 1)).forEach((chunk) =>
-        this.#send(chunk, relays),
+      this.#sendUpdates(
+        [own, ...gathered.slice(0, UPDATES_EACH_MESSAGE - 1)],
+        relays,
+      );
+      chunks(gathered.slice(UPDATES_EACH_MESSAGE - 1)).forEach((chunk) =>
+        this.#sendUpdates(chunk, relays),
       );
     },
   };
 
-  /** Takes in a datagram. */
+  /** Handles a datagram. */
   receive(datagram: Buffer): void {
     const decoded = decodeMessage(datagram);
     if (decoded.isErr) {
@@ -377,24 +380,26 @@
       return;
     }
     const message = decoded.value;
-    const take = this.#takers[message.kind] as (message: PeerMessage) => void;
-    take(message);
+    const handle = this.#handlers[message.kind] as (
+      message: PeerMessage,
+    ) => void;
+    handle(message);
   }
 
-  readonly #takers: {
+  readonly #handlers: {
     readonly [Kind in PeerMessage["kind"]]: (
       message: Extract<PeerMessage, { readonly kind: Kind }>,
     ) => void;
   } = {
-    news: (message) => this.#takeNews(message),
-    digest: ({ digest }) => this.#takeDigest(digest),
-    question: ({ question }) => this.#takeQuestion(question),
-    answer: ({ answer }) => this.#questions.answered(answer),
-    turn_question: ({ question }) => this.#takeTurnQuestion(question),
-    turn_answer: ({ answer: { id, reply } }) =>
-      this.#turnQuestions.replied(id, reply),
-    configuration_question: ({ question }) =>
-      this.#passConfiguration(question.address),
+    updates: (message) => this.#receiveUpdates(message),
+    digest: ({ digest }) => this.#receiveDigest(digest),
+    limit_query: ({ query }) => this.#answerLimitQuery(query),
+    limit_answer: ({ answer }) => this.#limitQueries.receiveAnswer(answer),
+    permit_query: ({ query }) => this.#answerPermitQuery(query),
+    permit_answer: ({ answer: { id, reply } }) =>
+      this.#permitQueries.receiveReply(id, reply),
+    configuration_query: ({ query }) =>
+      this.#forwardConfiguration(query.address),
     configuration: ({ changes }) => this.#listener.onConfiguration(changes),
   };
 
@@ -402,8 +407,8 @@
     await this.#ownership[Symbol.asyncDispose]();
   }
 
-  #turnHolders(now: number): readonly string[] {
-    return this.#hosts.turnHolders(now, {
+  #permitHolders(now: number): readonly string[] {
+    return this.#hosts.permitHolders(now, {
       stopping: this.#listener.stopping(),
     });
   }
@@ -418,7 +423,7 @@
     this.#role = role;
   }
 
-  #ownNews(): PeerNews {
+  #ownUpdate(): PeerNews {
     const { host, dataHall, cores, incarnation, wallTime, clock } = this.#parts;
     const sequence = this.#round;
     return {
@@ -430,47 +435,52 @@
       sequence,
       address: this.#transport.address,
       wallTime: wallTime(),
-      carriedTime: this.#time.carried(clock.now()),
+      timeEstimate: this.#time.ownEstimate(clock.now()),
     };
   }
 
-  #send(news: readonly AgedNews[], hosts: readonly KnownHost[]): void {
+  #sendUpdates(
+    updates: readonly AgedUpdate[],
+    hosts: readonly KnownHost[],
+  ): void {
     const datagram = encodeMessage({
-      kind: "news",
+      kind: "updates",
       from: this.#parts.host,
       wantsDigest: this.#role === "member",
-      news,
+      updates,
     });
     hosts.forEach(({ address }) => this.#transport.send(address, datagram));
   }
 
   /**
-   * News of the hosts that tell this relay, each message once. That of other
-   * relays is among it, so that relays which do not hear each other do.
+   * New updates of the hosts that send to this relay, each update once. They include
+   * those of other relays, for relays that receive nothing from each other directly.
    */
-  #gathered(now: number): readonly AgedNews[] {
-    return this.#hosts.telling(now).flatMap(({ name, news, heardAt }) => {
-      if (news === undefined) return [];
-      const mark = `${news.incarnation}/${news.sequence}`;
-      if (this.#passedOn.get(name) === mark) return [];
-      this.#passedOn.set(name, mark);
-      return [{ news: withoutLevels(news), age: now - heardAt }];
-    });
+  #updatesToForward(now: number): readonly AgedUpdate[] {
+    return this.#hosts
+      .directSenders(now)
+      .flatMap(({ name, update, receivedAt }) => {
+        if (update === undefined) return [];
+        const mark = `${update.incarnation}/${update.sequence}`;
+        if (this.#forwarded.get(name) === mark) return [];
+        this.#forwarded.set(name, mark);
+        return [{ update: withoutLevels(update), age: now - receivedAt }];
+      });
   }
 
-  #tellDigests(now: number): void {
-    const asking = this.#hosts.asking(now);
-    if (asking.length === 0) return;
-    const time = this.#time.supported(now);
+  #sendDigests(now: number): void {
+    const requesters = this.#hosts.digestRequesters(now);
+    if (requesters.length === 0) return;
+    const time = this.#time.fleetEstimate(now);
     const common = {
       relay: this.#parts.host,
       hosts: this.#hosts.size(now),
       relays: this.#hosts.ownRelays(now),
-      turnHolders: this.#turnHolders(now),
+      turnHolders: this.#permitHolders(now),
       wallTime: time.wallTime,
       timeSamples: time.samples,
     };
-    asking.forEach((host) => {
+    requesters.forEach((host) => {
       const datagram = encodeMessage({
         kind: "digest",
         digest: {
@@ -483,97 +493,110 @@
     });
   }
 
-  #takeNews(message: Extract<PeerMessage, { readonly kind: "news" }>): void {
+  #receiveUpdates(
+    message: Extract<PeerMessage, { readonly kind: "updates" }>,
+  ): void {
     const now = this.#parts.clock.now();
-    message.news.forEach(({ news, age }) => {
-      if (news.host === this.#parts.host) return;
-      const known = this.#hosts.get(news.host);
-      if (!this.#hosts.heard(news, now - age)) return;
-      this.#time.heard(news.host, news.carriedTime, now - age);
-      if (known?.address !== news.address || known.incarnation === undefined) {
+    message.updates.forEach(({ update, age }) => {
+      if (update.host === this.#parts.host) return;
+      const known = this.#hosts.get(update.host);
+      if (!this.#hosts.applyUpdate(update, now - age)) return;
+      this.#time.receive(update.host, update.timeEstimate, now - age);
+      if (
+        known?.address !== update.address ||
+        known.incarnation === undefined
+      ) {
         this.#parts.logger.info("host joined", {
-          peer: news.host,
-          address: news.address,
+          peer: update.host,
+          address: update.address,
           from: message.from,
         });
       }
-      const configurationAge = this.#ageNow(news.configurationAge, age);
-      this.#listener.onNews({ ...news, configurationAge }, age);
+      const configurationAge = this.#currentAge(update.configurationAge, age);
+      this.#listener.onNews({ ...update, configurationAge }, age);
     });
-    this.#hosts.sentBy(message.from, message.wantsDigest, now);
+    this.#hosts.recordSender(message.from, message.wantsDigest, now);
   }
 
-  #takeDigest(digest: FleetDigest): void {
+  #receiveDigest(digest: FleetDigest): void {
     const now = this.#parts.clock.now();
-    this.#hosts.digested(digest, now);
+    this.#hosts.applyDigest(digest, now);
     const { relay, wallTime, timeSamples } = digest;
-    this.#time.heard(relay, { wallTime, samples: timeSamples }, now);
+    this.#time.receive(relay, { wallTime, samples: timeSamples }, now);
     if (this.#role !== "member") return;
     this.#listener.onDigest({
       ...digest,
-      configurationAge: this.#ageNow(digest.configurationAge, 0),
+      configurationAge: this.#currentAge(digest.configurationAge, 0),
     });
   }
 
-  /** A host that is no relay knows too little, and lets the asker wait. */
-  #takeQuestion({ id, address, ...request }: LimitQuestion): void {
+  /**
+   * Answers a limit query as a relay. Other hosts have too little information and send
+   * no answer.
+   */
+  #answerLimitQuery({ id, address, ...request }: LimitQuery): void {
     if (this.#role !== "relay") return;
     const decision = this.#listener.onQuestion(request);
     const datagram = encodeMessage({
-      kind: "answer",
+      kind: "limit_answer",
       answer: { id, decision },
     });
     this.#transport.send(address, datagram);
   }
 
-  #takeTurnQuestion({ id, address, ...request }: TurnQuestion): void {
+  #answerPermitQuery({ id, address, ...request }: PermitQuery): void {
     const reply = this.#listener.onTurnQuestion(request);
     const answer = { id, reply };
     this.#transport.send(
       address,
-      encodeMessage({ kind: "turn_answer", answer }),
+      encodeMessage({ kind: "permit_answer", answer }),
     );
   }
 
-  /** Passes the newest configuration on, where it fits into a datagram. */
-  #passConfiguration(address: string): void {
+  /** Forwards the newest configuration as a relay, if it fits into a datagram. */
+  #forwardConfiguration(address: string): void {
     const changes = this.#listener.configuration();
     if (this.#role !== "relay" || changes === undefined) return;
     const datagram = encodeMessage({ kind: "configuration", changes });
-    if (datagram.length <= LARGEST_DATAGRAM_BYTES) {
+    if (datagram.length <= MAXIMUM_DATAGRAM_BYTES) {
       this.#transport.send(address, datagram);
     } else this.#parts.metrics.event("configuration_too_large_to_pass_on");
   }
 
   /**
-   * Age of a confirmation that a message told of. After a pause of this
-   * process, messages may be as old as the pause.
+   * Current age of a confirmation that a message reported. `undefined` after a pause
+   * of this process, as messages may then be as old as the pause.
    */
-  #ageNow(told: number | undefined, age: number): number | undefined {
+  #currentAge(reported: number | undefined, age: number): number | undefined {
     const now = this.#parts.cautiousClock.now();
-    const woken = now - this.#wokenAt < WOKEN_MILLISECONDS;
-    return told === undefined || woken || this.#isPaused()
+    const resumed = now - this.#resumedAt < RESUMED_MILLISECONDS;
+    return reported === undefined || resumed || this.#isPaused()
       ? undefined
-      : told + age;
+      : reported + age;
   }
 
-  /** Whether this process has missed rounds, as one does that was stopped. */
+  /** Whether this process has missed rounds, for instance while it was suspended. */
   #isPaused(): boolean {
     const now = this.#parts.cautiousClock.now();
-    const longest = PACE_BY_ROLE[this.#role].interval * PAUSE_PACES;
-    return this.#lastRound > 0 && now - this.#lastRound > longest;
+    const maximum = PACE_BY_ROLE[this.#role].interval * PAUSE_INTERVALS;
+    return this.#lastRound > 0 && now - this.#lastRound > maximum;
   }
 }
 
-/** Relays keep the levels of the limits themselves. */
-function withoutLevels(news: PeerNews): PeerNews {
-  return { ...news, levels: {} };
+/** Removes the levels of limits; relays track these themselves. */
+function withoutLevels(update: PeerNews): PeerNews {
+  return { ...update, levels: {} };
 }
 
-function chunks(news: readonly AgedNews[]): readonly (readonly AgedNews[])[] {
+function chunks(
+  updates: readonly AgedUpdate[],
+): readonly (readonly AgedUpdate[])[] {
   return Array.from(
-    { length: Math.ceil(news.length / NEWS_EACH_MESSAGE) },
+    { length: Math.ceil(updates.length / UPDATES_EACH_MESSAGE) },
     (_, index) =>
-      news.slice(index * NEWS_EACH_MESSAGE, (index + 1) * NEWS_EACH_MESSAGE),
+      updates.slice(
+        index * UPDATES_EACH_MESSAGE,
+        (index + 1) * UPDATES_EACH_MESSAGE,
+      ),
   );
 }
--- a/packages/rampswitch-serving/src/membership/membership_test.ts
+++ b/packages/rampswitch-serving/src/membership/membership_test.ts
@@ -22,7 +22,7 @@
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
 import type { FleetDigest, PeerMessage, PeerNews } from "./peer_news.ts";
 
-const NEWS: OwnNews = {
+const OWN_UPDATE: OwnNews = {
   leaving: [{ id: "s9", born: 7, age: 20 }],
   limits: [
     { id: "s1", born: 1_796_169_600_123, perSecond: 1.2, age: 40 },
@@ -75,21 +75,22 @@
   ],
 };
 
-/** Fewer tokens than these fit into the limit of the test's relays. */
+/** The relays of the tests admit requests with fewer tokens than this. */
 const FITTING_TOKENS = 1_000;
 
-/** The newest configuration as relays pass it on. */
+/** The newest configuration, which relays forward. */
 const CONFIGURATION: ChangeBatch = {
   after: 0,
   version: 9,
   events: [{ key: "config/main", version: 7, value: "x".repeat(20_000) }],
 };
 
-/** A list of hosts that all tests' hosts share. */
+/** An in-memory store that the hosts of a test share. */
 function sharedStore(): ObjectStore {
   const objects = new Map<string, StoredObject>();
   let version = 0;
-  const unused = () => Promise.reject(new Error("not used by membership"));
+  const unused = () =>
+    Promise.reject(new Error("membership calls only list and put"));
   return {
     ...ONE_ERA,
     list: () =>
@@ -129,24 +130,24 @@
       { key: "servers/s2", version: 9 },
     ],
   },
-  quarantine: NEWS.quarantine,
-  rollouts: NEWS.rollouts.map((one) => ({ ...one, own: undefined })),
-  leaving: NEWS.leaving,
-  limits: NEWS.limits,
+  quarantine: OWN_UPDATE.quarantine,
+  rollouts: OWN_UPDATE.rollouts.map((one) => ({ ...one, own: undefined })),
+  leaving: OWN_UPDATE.leaving,
+  limits: OWN_UPDATE.limits,
 };
 
 interface SharedByHosts {
   readonly store: ObjectStore;
   readonly clock: ManualClock;
-  /** The steady one when left out. */
+  /** `clock` if left out. */
   readonly cautiousClock?: Clock;
-  readonly heard: PeerNews[];
+  readonly received: PeerNews[];
   readonly digests?: FleetDigest[];
   readonly configurations?: ChangeBatch[];
   readonly wallTime: number | (() => number);
   readonly dataHall?: string;
-  /** Differs for each process of a host. */
-  readonly life?: string;
+  /** Identifies one run of a host's process. */
+  readonly incarnation?: string;
   readonly address?: string;
 }
 
@@ -161,7 +162,7 @@
         host,
         dataHall: shared.dataHall ?? "a",
         cores: 1,
-        incarnation: `${shared.life ?? "life"}-of-${host}`,
+        incarnation: `${shared.incarnation ?? "first"}-of-${host}`,
         address: shared.address ?? "127.0.0.1:0",
         store: shared.store,
         hostsPrefix: "hosts/",
@@ -173,10 +174,10 @@
         metrics: new ServingMetrics(),
       },
       {
-        ownNews: () => NEWS,
+        ownNews: () => OWN_UPDATE,
         stopping: () => false,
         viewFor: () => VIEW,
-        onNews: (news) => shared.heard.push(news),
+        onNews: (update) => shared.received.push(update),
         onDigest: (digest) => shared.digests?.push(digest),
         onListed: () => undefined,
         onQuestion: ({ tokens }) =>
@@ -195,20 +196,20 @@
   );
 }
 
-/** Lets sockets and promises do their work for one step of the clock. */
+/** Advances the clock and lets sockets and promises proceed. */
 async function step(clock: ManualClock, milliseconds: number): Promise<void> {
   clock.advance(milliseconds);
   await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
 describe("hosts that start together", () => {
-  test("hear each other within two seconds", async () => {
+  test("receive updates from each other within two seconds", async () => {
     const clock = new ManualClock(1_000);
     const store = sharedStore();
-    const heard: PeerNews[] = [];
+    const received: PeerNews[] = [];
     const hosts = await Promise.all(
       ["a", "b", "c"].map((name, index) =>
-        openHost(name, { store, clock, heard, wallTime: index * 2_400 }),
+        openHost(name, { store, clock, received, wallTime: index * 2_400 }),
       ),
     );
     expect(hosts.map((host) => host.mayHoldDuties)).toEqual(
@@ -217,13 +218,13 @@
     for (let at = 0; at < 2_000; at += 50) await step(clock, 50);
     expect(hosts.map((host) => host.size)).toEqual([3, 3, 3]);
     expect(hosts.every((host) => host.mayHoldDuties)).toBe(true);
-    expect(heard[0]).toMatchObject(NEWS);
+    expect(received[0]).toMatchObject(OWN_UPDATE);
   });
 
-  test("agree on the time of day of most, whatever one clock says", async () => {
+  test("agree on the time of most clocks even if one is wrong", async () => {
     const clock = new ManualClock(1_000);
     const store = sharedStore();
-    const shared = { store, clock, heard: [] };
+    const shared = { store, clock, received: [] };
     const right = [
       await openHost("a", { ...shared, wallTime: 500_000 }),
       await openHost("b", { ...shared, wallTime: 500_000 }),
@@ -238,36 +239,36 @@
 });
 
 /** Steps of clocks in the tests below, in milliseconds. */
-const STEP_OF_CLOCK_MILLISECONDS = 3_000;
+const CLOCK_STEP_MILLISECONDS = 3_000;
 
-/** Largest error of the agreed time of day: an exchange of news, in milliseconds. */
-const AGREED_MILLISECONDS = 600;
+/** Maximum error of fleet time, in milliseconds: one exchange of updates. */
+const MAXIMUM_ERROR_MILLISECONDS = 600;
 
 /**
- * Windows of usage were counted by a time of day that followed every step of more than
- * half of the clocks at once. On days on which four fifths of the clocks stepped by 3 s
- * for some seconds, windows ended early: 71 of 161 and 63 of 177 requests were not
- * counted, and a report was final 1.4 s before its window had ended.
+ * Guards against usage windows that end early. Fleet time followed each step of more
+ * than half of the clocks at once. When four fifths of the clocks stepped by 3 s for
+ * some seconds, 71 of 161 and 63 of 177 requests were not counted, and a report was
+ * final 1.4 s before the end of its window.
  */
-describe("the time of day on which hosts agree", () => {
-  /** Five hosts, of whose clocks the first four step by `clocks.ahead`. */
+describe("fleet time", () => {
+  /** Opens five hosts; the clocks of the first four are ahead by `clocks.ahead`. */
   async function openFive(): Promise<{
     readonly clock: ManualClock;
     readonly clocks: { ahead: number };
     readonly open: (
       name: string,
       index: number,
-      life?: string,
+      incarnation?: string,
     ) => Promise<Membership>;
     readonly hosts: readonly Membership[];
   }> {
     const clock = new ManualClock(1_000);
-    const shared = { store: sharedStore(), clock, heard: [] };
+    const shared = { store: sharedStore(), clock, received: [] };
     const clocks = { ahead: 0 };
-    const open = (name: string, index: number, life = "life") =>
+    const open = (name: string, index: number, incarnation = "first") =>
       openHost(name, {
         ...shared,
-        life,
+        incarnation,
         wallTime: () => clock.now() + (index < 4 ? clocks.ahead : 0),
       });
     const names = ["a", "b", "c", "d", "e"];
@@ -281,11 +282,11 @@
   function errorsOf(hosts: readonly Membership[], clock: ManualClock) {
     return hosts
       .map((host) => Math.abs(host.agreedWallTime() - clock.now()))
-      .filter((error) => error > AGREED_MILLISECONDS);
+      .filter((error) => error > MAXIMUM_ERROR_MILLISECONDS);
   }
 
-  test.each([STEP_OF_CLOCK_MILLISECONDS, -STEP_OF_CLOCK_MILLISECONDS])(
-    "does not follow a step of most clocks for some seconds, by %d ms",
+  test.each([CLOCK_STEP_MILLISECONDS, -CLOCK_STEP_MILLISECONDS])(
+    "does not follow a step of most clocks for a few seconds, by %d ms",
     async (ahead) => {
       const { clock, clocks, hosts } = await openFive();
       clocks.ahead = ahead;
@@ -296,15 +297,15 @@
     },
   );
 
-  test("is learned from hosts that carry it by one that starts while most clocks are off", async () => {
+  test("is taken from other hosts by one that starts while most clocks are wrong", async () => {
     const { clock, clocks, open, hosts } = await openFive();
-    clocks.ahead = STEP_OF_CLOCK_MILLISECONDS;
+    clocks.ahead = CLOCK_STEP_MILLISECONDS;
     await step(clock, 100);
     await hosts[0]?.[Symbol.asyncDispose]();
     await hosts[1]?.[Symbol.asyncDispose]();
     const started = [
-      await open("a", 0, "next-life"),
-      await open("b", 1, "next-life"),
+      await open("a", 0, "second"),
+      await open("b", 1, "second"),
     ];
     for (let at = 0; at < 1_000; at += 100) await step(clock, 100);
     for (let at = 0; at < 4_000; at += 100) {
@@ -313,47 +314,51 @@
     }
   });
 
-  test("follows most clocks that stay where they are", async () => {
+  test("follows a lasting step of most clocks", async () => {
     const { clock, clocks, hosts } = await openFive();
-    clocks.ahead = STEP_OF_CLOCK_MILLISECONDS;
+    clocks.ahead = CLOCK_STEP_MILLISECONDS;
     for (let at = 0; at < 150_000; at += 500) await step(clock, 500);
     hosts.forEach((host) => {
       const error = host.agreedWallTime() - clock.now() - clocks.ahead;
-      expect(Math.abs(error)).toBeLessThan(AGREED_MILLISECONDS);
+      expect(Math.abs(error)).toBeLessThan(MAXIMUM_ERROR_MILLISECONDS);
     });
   });
 });
 
 describe("a host that was suspended", () => {
-  test("believes no age that was told before it went on", async () => {
+  test("ignores ages that were reported before it resumed", async () => {
     const clock = new ManualClock(1_000);
     const shared = { store: sharedStore(), clock, wallTime: 500_000 };
-    const told: PeerNews[] = [];
+    const received: PeerNews[] = [];
     const suspension = { milliseconds: 0 };
     const wallTime = () => clock.now() + suspension.milliseconds;
-    await openHost("a", { ...shared, heard: [] });
+    await openHost("a", { ...shared, received: [] });
     const suspended = await openHost("b", {
       ...shared,
-      heard: told,
+      received,
       cautiousClock: new CautiousClock(clock, wallTime),
     });
     for (let at = 0; at < 2_000; at += 50) await step(clock, 50);
-    const news = told.at(-1);
-    expect(news?.configurationAge).toBeDefined();
-    if (news === undefined) return;
+    const update = received.at(-1);
+    expect(update?.configurationAge).toBeDefined();
+    if (update === undefined) return;
     suspension.milliseconds = 8_000;
-    // A message that came meanwhile is read before anything else.
-    const late = { ...news, sequence: news.sequence + 1, configurationAge: 90 };
+    // A message that arrived during the suspension is read first.
+    const late = {
+      ...update,
+      sequence: update.sequence + 1,
+      configurationAge: 90,
+    };
     suspended.receive(
       encodeMessage({
-        kind: "news",
+        kind: "updates",
         from: "a",
         wantsDigest: false,
-        news: [{ age: 0, news: late }],
+        updates: [{ age: 0, update: late }],
       }),
     );
-    expect(told.at(-1)?.sequence).toBe(late.sequence);
-    expect(told.at(-1)?.configurationAge).toBeUndefined();
+    expect(received.at(-1)?.sequence).toBe(late.sequence);
+    expect(received.at(-1)?.configurationAge).toBeUndefined();
   });
 });
 
@@ -370,15 +375,15 @@
   );
 }
 
-/** A fleet of two data halls that is too large for all to tell all. */
+/** Opens a fleet of two data halls that is large enough to need relays. */
 async function openLargeFleet(): Promise<{
   readonly clock: ManualClock;
-  readonly shared: Omit<SharedByHosts, "heard">;
+  readonly shared: Omit<SharedByHosts, "received">;
   readonly hosts: readonly {
     readonly name: string;
     readonly dataHall: string;
     readonly membership: Membership;
-    readonly heard: PeerNews[];
+    readonly received: PeerNews[];
     readonly digests: FleetDigest[];
     readonly configurations: ChangeBatch[];
   }[];
@@ -389,19 +394,19 @@
     Array.from({ length: 24 }, async (_, index) => {
       const name = `host-${index}`;
       const dataHall = index % 2 === 0 ? "a" : "b";
-      const heard: PeerNews[] = [];
+      const received: PeerNews[] = [];
       const digests: FleetDigest[] = [];
       const configurations: ChangeBatch[] = [];
       const membership = await openHost(name, {
         store,
         clock,
-        heard,
+        received,
         digests,
         configurations,
         wallTime: 500_000,
         dataHall,
       });
-      return { name, dataHall, membership, heard, digests, configurations };
+      return { name, dataHall, membership, received, digests, configurations };
     }),
   );
   for (let at = 0; at < 6_000; at += 100) await step(clock, 100);
@@ -409,7 +414,7 @@
 }
 
 describe("a large fleet", () => {
-  test("gathers at two relays of each data hall, which tell the others", async () => {
+  test("sends updates to two relays of each data hall, which send digests", async () => {
     const { clock, hosts } = await openLargeFleet();
     const relays = hosts.filter(
       ({ membership }) => membership.role === "relay",
@@ -419,23 +424,23 @@
     const mayHold = hosts.filter(({ membership }) => membership.mayHoldDuties);
     expect(mayHold).toEqual(relays);
     hosts.forEach((host) => {
-      host.heard.length = 0;
+      host.received.length = 0;
       host.digests.length = 0;
     });
     for (let at = 0; at < 2_000; at += 100) await step(clock, 100);
-    relays.forEach(({ name, heard }) => {
-      const names = new Set(heard.map(({ host }) => host));
+    relays.forEach(({ name, received }) => {
+      const names = new Set(received.map(({ host }) => host));
       expect([name, names.size]).toEqual([name, 23]);
     });
     const members = hosts.filter((host) => !relays.includes(host));
-    members.forEach(({ membership, digests, heard }) => {
+    members.forEach(({ membership, digests, received }) => {
       expect(digests[0]).toMatchObject({ hosts: 24, levels: VIEW.levels });
-      expect(heard).toEqual([]);
+      expect(received).toEqual([]);
       expect(membership.size).toBe(24);
     });
   });
 
-  test("asks a relay of the data hall about limits", async () => {
+  test("queries a relay of the data hall about limits", async () => {
     const { hosts } = await openLargeFleet();
     const members = hosts.filter(
       ({ membership }) => membership.role === "member",
@@ -457,7 +462,7 @@
     expect(deciders).toEqual([2, 2, 2, 2]);
   });
 
-  test("asks relays at once when all its hosts start again", async () => {
+  test("can query relays at once when all its hosts restart", async () => {
     const { hosts, shared } = await openLargeFleet();
     const addresses = await listedAddresses(shared.store);
     await Promise.all(
@@ -466,7 +471,7 @@
     const started = await Promise.all(
       hosts.map(({ name, dataHall }) => {
         const address = addresses.get(name) ?? "";
-        return openHost(name, { ...shared, heard: [], dataHall, address });
+        return openHost(name, { ...shared, received: [], dataHall, address });
       }),
     );
     for (let at = 0; at < 40; at += 10) await step(shared.clock, 10);
@@ -481,7 +486,7 @@
     );
   });
 
-  test("passes the configuration on from the relay that is asked", async () => {
+  test("receives the configuration from the relay that it requests it from", async () => {
     const { clock, hosts } = await openLargeFleet();
     const members = hosts.filter(
       ({ membership }) => membership.role === "member",
@@ -495,17 +500,17 @@
     );
   });
 
-  test("finds new relays when a data hall loses both", async () => {
+  test("selects new relays when a data hall loses both", async () => {
     const { clock, hosts } = await openLargeFleet();
-    const lost = hosts.filter(
+    const ended = hosts.filter(
       ({ membership, dataHall }) =>
         membership.role === "relay" && dataHall === "a",
     );
     await Promise.all(
-      lost.map(({ membership }) => membership[Symbol.asyncDispose]()),
+      ended.map(({ membership }) => membership[Symbol.asyncDispose]()),
     );
     for (let at = 0; at < 6_000; at += 100) await step(clock, 100);
-    const left = hosts.filter((host) => !lost.includes(host));
+    const left = hosts.filter((host) => !ended.includes(host));
     const relays = left.filter(({ membership }) => membership.role === "relay");
     expect(relays.map(({ dataHall }) => dataHall).toSorted()).toEqual([
       "a",
@@ -516,9 +521,9 @@
   });
 });
 
-describe("news on the network", () => {
-  const news: PeerNews = {
-    ...NEWS,
+describe("the encoding of messages", () => {
+  const update: PeerNews = {
+    ...OWN_UPDATE,
     host: "a",
     dataHall: "hall",
     cores: 0.5,
@@ -526,21 +531,21 @@
     sequence: 12,
     address: "127.0.0.1:1",
     wallTime: 5,
-    carriedTime: { wallTime: 7, samples: 240 },
+    timeEstimate: { wallTime: 7, samples: 240 },
   };
 
-  test.each([1, 40])("comes out as it went in, of %d hosts", (count) => {
+  test.each([1, 40])("preserves updates of %d hosts", (count) => {
     const message: PeerMessage = {
-      kind: "news",
+      kind: "updates",
       from: "a",
       wantsDigest: true,
-      news: Array.from({ length: count }, () => ({ news, age: 30 })),
+      updates: Array.from({ length: count }, () => ({ update, age: 30 })),
     };
     const decoded = decodeMessage(encodeMessage(message));
     expect(decoded.isOk && decoded.value).toEqual(message);
   });
 
-  test("digests come out as they went in", () => {
+  test("preserves digests", () => {
     const message: PeerMessage = {
       kind: "digest",
       digest: {
@@ -560,8 +565,8 @@
 
   test.each<PeerMessage>([
     {
-      kind: "question",
-      question: {
+      kind: "limit_query",
+      query: {
         id: 3,
         address: "127.0.0.1:9",
         workspace: "w",
@@ -569,10 +574,10 @@
         priority: 2,
       },
     },
-    { kind: "answer", answer: { id: 3, decision: { kind: "admitted" } } },
+    { kind: "limit_answer", answer: { id: 3, decision: { kind: "admitted" } } },
     {
-      kind: "turn_question",
-      question: {
+      kind: "permit_query",
+      query: {
         id: 4,
         address: "127.0.0.1:9",
         service: "models",
@@ -581,40 +586,43 @@
       },
     },
     {
-      kind: "turn_answer",
+      kind: "permit_answer",
       answer: { id: 4, reply: { kind: "given", server: "s2" } },
     },
     {
-      kind: "turn_answer",
+      kind: "permit_answer",
       answer: { id: 4, reply: { kind: "wait", milliseconds: 350 } },
     },
     {
-      kind: "configuration_question",
-      question: { address: "127.0.0.1:9" },
+      kind: "configuration_query",
+      query: { address: "127.0.0.1:9" },
     },
     { kind: "configuration", changes: CONFIGURATION },
     {
-      kind: "answer",
+      kind: "limit_answer",
       answer: {
         id: 4,
         decision: { kind: "over_limit", retryAfterMilliseconds: 0 },
       },
     },
-  ])("messages come out as they went in: $kind", (message) => {
+  ])("preserves messages: $kind", (message) => {
     const decoded = decodeMessage(encodeMessage(message));
     expect(decoded.isOk && decoded.value).toEqual(message);
   });
 
-  test("that is cut or changed anywhere never throws", () => {
+  test("never throws on messages that are truncated or changed", () => {
     const messages: readonly PeerMessage[] = [
       {
-        kind: "news",
+        kind: "updates",
         from: "a",
         wantsDigest: true,
-        news: Array.from({ length: 20 }, () => ({ news, age: 30 })),
+        updates: Array.from({ length: 20 }, () => ({ update, age: 30 })),
       },
       { kind: "configuration", changes: CONFIGURATION },
-      { kind: "answer", answer: { id: 3, decision: { kind: "admitted" } } },
+      {
+        kind: "limit_answer",
+        answer: { id: 3, decision: { kind: "admitted" } },
+      },
     ];
     fc.assert(
       fc.property(
@@ -638,7 +646,7 @@
   });
 
   test.each(["", "{", "[]", '{"k":1}', "\u0000\u0001", "\u0001abc"])(
-    "that can't be read is told: %j",
+    "reports malformed messages: %j",
     (text) => {
       expect(decodeMessage(Buffer.from(text)).isErr).toBe(true);
     },
--- a/packages/rampswitch-serving/src/membership/peer_codec.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The form of messages between hosts: JSON with short keys, compressed where it
- * would not fit into one packet.
+ * Encoding of messages between hosts: JSON with short keys, compressed if it does
+ * not fit into one packet.
  *
  * @module
  */
@@ -24,10 +24,10 @@
   LENT_SCHEMA,
   LIMITS_SCHEMA,
   limitsOf,
-  TURN_ANSWER_SCHEMA,
-  TURN_QUESTION_SCHEMA,
-  turnReplyOf,
-} from "./turn_codec.ts";
+  PERMIT_ANSWER_SCHEMA,
+  PERMIT_QUERY_SCHEMA,
+  permitReplyOf,
+} from "./permit_codec.ts";
 import type {
   DispatchNews,
   FleetDigest,
@@ -37,16 +37,16 @@
   WorkByServer,
 } from "./peer_news.ts";
 
-/** Larger messages are compressed, in bytes: the payload of one packet. */
+/** Size above which messages are compressed, in bytes: the payload of one packet. */
 const COMPRESSED_ABOVE_BYTES = 1_400;
 
-/** Bounds of a message once it is decompressed, in bytes. */
-const MAXIMUM_BYTES = 1024 * 1024;
+/** Maximum size of a decompressed message, in bytes. */
+const MAXIMUM_MESSAGE_BYTES = 1024 * 1024;
 
-/** First byte of a compressed message; others begin with a brace. */
+/** First byte of a compressed message; the first byte of others is a brace. */
 const COMPRESSED_MARK = 1;
 
-/** Compression level: the fastest; names repeat, so it suffices. */
+/** The fastest compression level; it suffices because names repeat in messages. */
 const COMPRESSION = { level: 1, memLevel: 5 };
 
 const numbers = z.record(z.string(), z.number());
@@ -60,15 +60,17 @@
 ]);
 
 /**
- * Starts of the lives that a message speaks of, by server. It stands beside the
- * work and not within it: hosts of a former version read a message whose keys
- * they don't know, but none whose known keys have another form.
+ * Start times of the server incarnations that a message refers to, by server. They
+ * have a key of their own instead of a field in the work: hosts of an earlier
+ * version accept a message with unknown keys, but reject one in which the value of
+ * a known key has another structure.
  */
-const lives = numbers.optional();
+const incarnations = numbers.optional();
 
 /**
- * Requests under which servers ended: ages of the ends by life, age of the newest
- * trial, number of trials, age of the newest whole run. A key of its own, as above.
+ * Requests during which servers ended: fingerprint, ages of the ends by server
+ * incarnation, age of the newest trial, number of trials, age of the newest
+ * complete run. The list has a key of its own, as above.
  */
 const quarantine = z
   .array(
@@ -82,14 +84,14 @@
   )
   .optional();
 
-/** A time of day and the samples behind it. A key of its own, as above. */
-const carriedTime = z.tuple([z.number(), z.number().nonnegative()]).optional();
+/** Estimated time and its number of samples. Has a key of its own, as above. */
+const timeEstimate = z.tuple([z.number(), z.number().nonnegative()]).optional();
 
-/** Weight of a time of day told by a host that tells no samples. */
-const LEAST_SAMPLES = 1;
+/** Weight of the time of a host that reports no number of samples. */
+const MINIMUM_SAMPLES = 1;
 
-/** Short keys on the network, in the order of {@link PeerNews}. */
-const NEWS_SCHEMA = z.object({
+/** Short keys of an update, in the order of {@link PeerNews}. */
+const UPDATE_SCHEMA = z.object({
   h: z.string(),
   z: z.string(),
   p: z.number(),
@@ -108,9 +110,9 @@
   d: z.array(z.tuple([z.string(), z.array(z.tuple([z.string(), z.number()]))])),
   r: numbers,
   l: lease.optional(),
-  y: lives,
+  y: incarnations,
   x: quarantine,
-  j: carriedTime,
+  j: timeEstimate,
   e: ROLLOUTS_SCHEMA,
   m: LIMITS_SCHEMA,
   g: LENT_SCHEMA,
@@ -122,7 +124,7 @@
     k: z.literal("n"),
     f: z.string(),
     m: z.boolean(),
-    o: z.array(z.tuple([z.number(), NEWS_SCHEMA])),
+    o: z.array(z.tuple([z.number(), UPDATE_SCHEMA])),
   }),
   z.object({
     k: z.literal("d"),
@@ -139,7 +141,7 @@
     w: work,
     l: z.array(lease),
     s: changes.optional(),
-    y: lives,
+    y: incarnations,
     o: quarantine,
     j: z.number().nonnegative().optional(),
     p: ROLLOUTS_SCHEMA,
@@ -158,17 +160,17 @@
   z.object({
     k: z.literal("a"),
     i: z.number(),
-    /** Milliseconds after which to come back; absent where admitted. */
+    /** Milliseconds after which to retry; absent if admitted. */
     r: z.number().nonnegative().optional(),
   }),
-  TURN_QUESTION_SCHEMA,
-  TURN_ANSWER_SCHEMA,
+  PERMIT_QUERY_SCHEMA,
+  PERMIT_ANSWER_SCHEMA,
   z.object({ k: z.literal("w"), a: z.string() }),
   z.object({ k: z.literal("c"), s: changes }),
 ]);
 
 type EncodedMessage = z.input<typeof MESSAGE_SCHEMA>;
-type EncodedNews = z.input<typeof NEWS_SCHEMA>;
+type EncodedUpdate = z.input<typeof UPDATE_SCHEMA>;
 
 /** Encodes a message for one datagram. */
 export function encodeMessage(message: PeerMessage): Buffer {
@@ -188,42 +190,45 @@
 };
 
 const ENCODERS: Encoders = {
-  news: ({ from, wantsDigest, news }) => ({
+  updates: ({ from, wantsDigest, updates }) => ({
     k: "n",
     f: from,
     m: wantsDigest,
-    o: news.map(({ age, news: one }) => [Math.ceil(age), encodedNews(one)]),
+    o: updates.map(({ age, update }) => [
+      Math.ceil(age),
+      encodedUpdate(update),
+    ]),
   }),
   digest: ({ digest }) => encodedDigest(digest),
-  question: ({ question }) => ({
+  limit_query: ({ query }) => ({
     k: "q",
-    i: question.id,
-    a: question.address,
-    w: question.workspace,
-    t: question.tokens,
-    p: question.priority,
+    i: query.id,
+    a: query.address,
+    w: query.workspace,
+    t: query.tokens,
+    p: query.priority,
   }),
-  answer: ({ answer: { id, decision } }) => ({
+  limit_answer: ({ answer: { id, decision } }) => ({
     k: "a",
     i: id,
     ...(decision.kind === "over_limit"
       ? { r: decision.retryAfterMilliseconds }
       : {}),
   }),
-  turn_question: ({ question }) => ({
+  permit_query: ({ query }) => ({
     k: "u",
-    i: question.id,
-    a: question.address,
-    s: question.service,
-    o: [...question.servers],
-    p: question.urgency,
+    i: query.id,
+    a: query.address,
+    s: query.service,
+    o: [...query.servers],
+    p: query.urgency,
   }),
-  turn_answer: ({ answer: { id, reply } }) => ({
+  permit_answer: ({ answer: { id, reply } }) => ({
     k: "v",
     i: id,
     r: reply.kind === "given" ? reply.server : Math.ceil(reply.milliseconds),
   }),
-  configuration_question: ({ question }) => ({ k: "w", a: question.address }),
+  configuration_query: ({ query }) => ({ k: "w", a: query.address }),
   configuration: (message) => ({ k: "c", s: encodedChanges(message.changes) }),
 };
 
@@ -234,7 +239,7 @@
   return encode(message);
 }
 
-/** Decodes a datagram; an error says what was wrong. */
+/** Decodes a datagram, or returns the reason why it is malformed. */
 export function decodeMessage(datagram: Buffer): Result<PeerMessage, string> {
   return plainOf(datagram)
     .andThen((plain) => parseJson(plain.toString("utf8")))
@@ -250,51 +255,53 @@
   if (datagram[0] !== COMPRESSED_MARK) return Result.ok(datagram);
   try {
     return Result.ok(
-      inflateRawSync(datagram.subarray(1), { maxOutputLength: MAXIMUM_BYTES }),
+      inflateRawSync(datagram.subarray(1), {
+        maxOutputLength: MAXIMUM_MESSAGE_BYTES,
+      }),
     );
   } catch (error) {
     return Result.err(String(error));
   }
 }
 
-function encodedNews(news: PeerNews): EncodedNews {
+function encodedUpdate(update: PeerNews): EncodedUpdate {
   return {
-    h: news.host,
-    z: news.dataHall,
-    p: news.cores,
-    i: news.incarnation,
-    n: news.sequence,
-    a: news.address,
-    t: news.wallTime,
-    j: [news.carriedTime.wallTime, news.carriedTime.samples],
-    s: news.stopping,
-    c: news.configurationVersion,
-    v: [news.followed.configuration, news.followed.servers],
-    q: news.admitted,
-    b: news.levels,
-    w: encodedWork(news.work),
-    u: news.counts,
-    d: news.dispatches.map(({ server, parts }) => [
+    h: update.host,
+    z: update.dataHall,
+    p: update.cores,
+    i: update.incarnation,
+    n: update.sequence,
+    a: update.address,
+    t: update.wallTime,
+    j: [update.timeEstimate.wallTime, update.timeEstimate.samples],
+    s: update.stopping,
+    c: update.configurationVersion,
+    v: [update.followed.configuration, update.followed.servers],
+    q: update.admitted,
+    b: update.levels,
+    w: encodedWork(update.work),
+    u: update.counts,
+    d: update.dispatches.map(({ server, parts }) => [
       server,
       parts.map((part) => [part.id, part.tokens]),
     ]),
-    r: news.readTokens,
-    m: encodedLimits(news.limits),
-    g: encodedLoans(news.lentTo),
-    o: encodedLeaving(news.leaving),
-    ...encodedLives(news.work, news.dispatches),
-    ...(news.quarantine.length === 0
+    r: update.readTokens,
+    m: encodedLimits(update.limits),
+    g: encodedLoans(update.lentTo),
+    o: encodedLeaving(update.leaving),
+    ...encodedIncarnations(update.work, update.dispatches),
+    ...(update.quarantine.length === 0
       ? {}
-      : { x: encodedQuarantine(news.quarantine) }),
-    ...(news.rollouts.length === 0
+      : { x: encodedQuarantine(update.quarantine) }),
+    ...(update.rollouts.length === 0
       ? {}
-      : { e: encodedRollouts(news.rollouts) }),
-    ...(news.configurationAge === undefined
+      : { e: encodedRollouts(update.rollouts) }),
+    ...(update.configurationAge === undefined
       ? {}
-      : { f: Math.ceil(news.configurationAge) }),
-    ...(news.lease === undefined
+      : { f: Math.ceil(update.configurationAge) }),
+    ...(update.lease === undefined
       ? {}
-      : { l: [news.lease.fence, news.lease.version] }),
+      : { l: [update.lease.fence, update.lease.version] }),
   };
 }
 
@@ -316,7 +323,7 @@
     a: encodedLeaving(digest.leaving),
     ...(digest.turnHolders.length === 0 ? {} : { h: [...digest.turnHolders] }),
     l: digest.leases.map(({ fence, version }) => [fence, version]),
-    ...encodedLives(digest.work, []),
+    ...encodedIncarnations(digest.work, []),
     ...(digest.quarantine.length === 0
       ? {}
       : { o: encodedQuarantine(digest.quarantine) }),
@@ -342,29 +349,29 @@
 
 const DECODERS: Decoders = {
   n: ({ f, m, o }) => ({
-    kind: "news",
+    kind: "updates",
     from: f,
     wantsDigest: m,
-    news: o.map(([age, news]) => ({ age, news: newsOf(news) })),
+    updates: o.map(([age, update]) => ({ age, update: updateOf(update) })),
   }),
   d: (message) => ({ kind: "digest", digest: digestOf(message) }),
   q: ({ i, a, w, t, p }) => ({
-    kind: "question",
-    question: { id: i, address: a, workspace: w, tokens: t, priority: p },
+    kind: "limit_query",
+    query: { id: i, address: a, workspace: w, tokens: t, priority: p },
   }),
   a: ({ i, r }) => ({
-    kind: "answer",
+    kind: "limit_answer",
     answer: { id: i, decision: decisionOf(r) },
   }),
   u: ({ i, a, s, o, p }) => ({
-    kind: "turn_question",
-    question: { id: i, address: a, service: s, servers: o, urgency: p },
+    kind: "permit_query",
+    query: { id: i, address: a, service: s, servers: o, urgency: p },
   }),
   v: ({ i, r }) => ({
-    kind: "turn_answer",
-    answer: { id: i, reply: turnReplyOf(r) },
+    kind: "permit_answer",
+    answer: { id: i, reply: permitReplyOf(r) },
   }),
-  w: ({ a }) => ({ kind: "configuration_question", question: { address: a } }),
+  w: ({ a }) => ({ kind: "configuration_query", query: { address: a } }),
   c: ({ s }) => ({ kind: "configuration", changes: changesOf(s) }),
 };
 
@@ -390,7 +397,7 @@
     hosts: message.e,
     relays: message.r,
     wallTime: message.t,
-    timeSamples: message.j ?? LEAST_SAMPLES,
+    timeSamples: message.j ?? MINIMUM_SAMPLES,
     configurationVersion: message.c,
     configurationAge: message.g,
     followed: followedOf(message.v),
@@ -407,42 +414,42 @@
   };
 }
 
-function newsOf(news: z.output<typeof NEWS_SCHEMA>): PeerNews {
+function updateOf(update: z.output<typeof UPDATE_SCHEMA>): PeerNews {
   return {
-    host: news.h,
-    dataHall: news.z,
-    cores: news.p,
-    incarnation: news.i,
-    sequence: news.n,
-    address: news.a,
-    wallTime: news.t,
-    carriedTime: {
-      wallTime: news.j?.[0] ?? news.t,
-      samples: news.j?.[1] ?? LEAST_SAMPLES,
+    host: update.h,
+    dataHall: update.z,
+    cores: update.p,
+    incarnation: update.i,
+    sequence: update.n,
+    address: update.a,
+    wallTime: update.t,
+    timeEstimate: {
+      wallTime: update.j?.[0] ?? update.t,
+      samples: update.j?.[1] ?? MINIMUM_SAMPLES,
     },
-    stopping: news.s,
-    configurationVersion: news.c,
-    configurationAge: news.f,
-    followed: followedOf(news.v),
-    admitted: news.q,
-    levels: news.b,
-    work: workOf(news.w, news.y),
-    counts: news.u,
-    dispatches: news.d.map(([server, parts]) => ({
+    stopping: update.s,
+    configurationVersion: update.c,
+    configurationAge: update.f,
+    followed: followedOf(update.v),
+    admitted: update.q,
+    levels: update.b,
+    work: workOf(update.w, update.y),
+    counts: update.u,
+    dispatches: update.d.map(([server, parts]) => ({
       server,
-      born: news.y?.[server],
+      born: update.y?.[server],
       parts: parts.map(([id, tokens]) => ({ id, tokens })),
     })),
-    readTokens: news.r,
+    readTokens: update.r,
     lease:
-      news.l === undefined
+      update.l === undefined
         ? undefined
-        : { fence: news.l[0], version: news.l[1] },
-    quarantine: quarantineOf(news.x),
-    rollouts: rolloutsOf(news.e),
-    limits: limitsOf(news.m),
-    lentTo: news.g ?? {},
-    leaving: leavingOf(news.o),
+        : { fence: update.l[0], version: update.l[1] },
+    quarantine: quarantineOf(update.x),
+    rollouts: rolloutsOf(update.e),
+    limits: limitsOf(update.m),
+    lentTo: update.g ?? {},
+    leaving: leavingOf(update.o),
   };
 }
 
@@ -460,8 +467,8 @@
   return requests.map((request) => [
     request.fingerprint,
     Object.fromEntries(
-      Object.entries(request.lostLives).map(([life, age]) => [
-        life,
+      Object.entries(request.lostLives).map(([incarnation, age]) => [
+        incarnation,
         Math.round(age),
       ]),
     ),
@@ -531,18 +538,18 @@
   );
 }
 
-/** A host tells of one life of each server, the newest that it knows. */
-function encodedLives(
+/** Encodes one incarnation of each server: the newest that the host knows. */
+function encodedIncarnations(
   work: WorkByServer,
   dispatches: readonly DispatchNews[],
 ): { y?: Record<string, number> } {
-  const told = [
+  const reported = [
     ...Object.entries(work).map(([server, { born }]) => ({ server, born })),
     ...dispatches,
   ].flatMap(({ server, born }) =>
     born === undefined ? [] : [[server, born] as const],
   );
-  return told.length === 0 ? {} : { y: Object.fromEntries(told) };
+  return reported.length === 0 ? {} : { y: Object.fromEntries(reported) };
 }
 
 function workOf(
--- a/packages/rampswitch-serving/src/membership/peer_codec_test.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec_test.ts
@@ -4,14 +4,14 @@
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
 import type { PeerMessage, PeerNews } from "./peer_news.ts";
 
-// Hosts tell each other of work at servers by id. A server may start again under
-// its id, and hosts hear of it at different times, so news names the life that it
-// speaks of. While a deployment changes its version, hosts with and without that
-// exchange messages: a message that can't be read costs all of its news.
+// Hosts report work at servers by id. A server may restart under the same id, and
+// hosts learn of that at different times, so an update names the incarnation it
+// refers to. While a deployment changes its version, hosts with and without this
+// field exchange messages: a message that can't be read loses all of its updates.
 
 const BORN = 1_796_169_600_123;
 
-const NEWS: PeerNews = {
+const UPDATE: PeerNews = {
   host: "h1",
   dataHall: "a",
   cores: 1,
@@ -19,7 +19,7 @@
   sequence: 1,
   address: "127.0.0.1:1",
   wallTime: 1,
-  carriedTime: { wallTime: 3, samples: 240 },
+  timeEstimate: { wallTime: 3, samples: 240 },
   stopping: false,
   configurationVersion: 1,
   configurationAge: undefined,
@@ -27,12 +27,12 @@
   admitted: {},
   levels: {},
   work: {
-    told: { running: 2, unreadTokens: 70, born: BORN },
-    untold: { running: 1, unreadTokens: 5, born: undefined },
+    dated: { running: 2, unreadTokens: 70, born: BORN },
+    undated: { running: 1, unreadTokens: 5, born: undefined },
   },
   counts: {},
   dispatches: [
-    { server: "kept", born: BORN + 1, parts: [{ id: "p", tokens: 40 }] },
+    { server: "cached", born: BORN + 1, parts: [{ id: "p", tokens: 40 }] },
   ],
   readTokens: {},
   lease: undefined,
@@ -47,50 +47,52 @@
 };
 
 const MESSAGE: PeerMessage = {
-  kind: "news",
+  kind: "updates",
   from: "h1",
   wantsDigest: false,
-  news: [{ age: 0, news: NEWS }],
+  updates: [{ age: 0, update: UPDATE }],
 };
 
-interface EncodedNews {
+interface EncodedUpdate {
   readonly w: unknown;
   readonly d: unknown;
   y?: unknown;
   j?: unknown;
 }
 
-/** A message as its sender writes it, to look at and to change. */
-function written(): {
+/** The encoded message and its update, which a test may change. */
+function writtenMessage(): {
   readonly message: unknown;
-  readonly news: EncodedNews;
+  readonly update: EncodedUpdate;
 } {
   const message = JSON.parse(encodeMessage(MESSAGE).toString("utf8")) as {
-    readonly o: readonly (readonly [number, EncodedNews])[];
+    readonly o: readonly (readonly [number, EncodedUpdate])[];
   };
-  const news = message.o[0]?.[1];
-  if (news === undefined) throw new Error("the message holds news");
-  return { message, news };
+  const update = message.o[0]?.[1];
+  if (update === undefined) throw new Error("the message has no update");
+  return { message, update };
 }
 
-describe("news of a life of a server", () => {
-  test("comes as it was sent", () => {
+describe("the server incarnation in an update", () => {
+  test("is decoded as it was encoded", () => {
     const decoded = decodeMessage(encodeMessage(MESSAGE));
     expect(decoded.unwrapOr(undefined)).toEqual(MESSAGE);
   });
 
-  test("stands where hosts of a former version don't look", () => {
-    const { news } = written();
-    expect(news.w).toEqual({ told: [2, 70], untold: [1, 5] });
-    expect(news.d).toEqual([["kept", [["p", 40]]]]);
+  test("is not in a field that hosts of an earlier version read", () => {
+    const { update } = writtenMessage();
+    expect(update.w).toEqual({ dated: [2, 70], undated: [1, 5] });
+    expect(update.d).toEqual([["cached", [["p", 40]]]]);
   });
 
-  test("is told by no host of a former version", () => {
-    const { message, news } = written();
-    delete news.y;
+  test("is undefined in an update of a host of an earlier version", () => {
+    const { message, update } = writtenMessage();
+    delete update.y;
     const decoded = decodeMessage(Buffer.from(JSON.stringify(message)));
-    const told = decoded.map((one) => (one.kind === "news" ? one.news : []));
-    expect(told.unwrapOr([])[0]?.news.work["told"]).toEqual({
+    const updates = decoded.map((one) =>
+      one.kind === "updates" ? one.updates : [],
+    );
+    expect(updates.unwrapOr([])[0]?.update.work["dated"]).toEqual({
       running: 2,
       unreadTokens: 70,
       born: undefined,
@@ -98,7 +100,7 @@
   });
 });
 
-describe("news of requests under which servers ended", () => {
+describe("requests during which servers ended", () => {
   const quarantine: PeerNews["quarantine"] = [
     {
       fingerprint: "0123456789abcdef01234567",
@@ -108,41 +110,43 @@
       ranWhole: 20,
     },
   ];
-  const telling: PeerMessage = {
-    kind: "news",
+  const quarantineMessage: PeerMessage = {
+    kind: "updates",
     from: "h1",
     wantsDigest: false,
-    news: [{ age: 0, news: { ...NEWS, quarantine } }],
+    updates: [{ age: 0, update: { ...UPDATE, quarantine } }],
   };
 
-  test("comes as it was sent", () => {
-    const decoded = decodeMessage(encodeMessage(telling));
-    expect(decoded.unwrapOr(undefined)).toEqual(telling);
+  test("are decoded as they were encoded", () => {
+    const decoded = decodeMessage(encodeMessage(quarantineMessage));
+    expect(decoded.unwrapOr(undefined)).toEqual(quarantineMessage);
   });
 
-  test("takes no byte where there is none", () => {
-    expect(written().news).not.toHaveProperty("x");
+  test("are left out when there are none", () => {
+    expect(writtenMessage().update).not.toHaveProperty("x");
   });
 
-  test("has a key of its own, which hosts of a former version leave out", () => {
-    const text = encodeMessage(telling).toString("utf8");
+  test("have a key of their own, which hosts of an earlier version ignore", () => {
+    const text = encodeMessage(quarantineMessage).toString("utf8");
     const { o } = JSON.parse(text) as {
       o: [number, Record<string, unknown>][];
     };
     const { x, ...former } = o[0]?.[1] ?? {};
     expect(x).toBeDefined();
-    expect(former).toEqual(written().news);
+    expect(former).toEqual(writtenMessage().update);
   });
 });
 
-describe("the time of day that a host carries", () => {
-  test("is the clock of a host of a former version, which carries none", () => {
-    const { message, news } = written();
-    delete news.j;
+describe("the estimated time of a host", () => {
+  test("is its clock if an earlier version sends no estimate", () => {
+    const { message, update } = writtenMessage();
+    delete update.j;
     const decoded = decodeMessage(Buffer.from(JSON.stringify(message)));
-    const told = decoded.map((one) => (one.kind === "news" ? one.news : []));
-    expect(told.unwrapOr([])[0]?.news.carriedTime).toEqual({
-      wallTime: NEWS.wallTime,
+    const updates = decoded.map((one) =>
+      one.kind === "updates" ? one.updates : [],
+    );
+    expect(updates.unwrapOr([])[0]?.update.timeEstimate).toEqual({
+      wallTime: UPDATE.wallTime,
       samples: 1,
     });
   });
--- a/packages/rampswitch-serving/src/membership/peer_news.ts
+++ b/packages/rampswitch-serving/src/membership/peer_news.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What hosts tell each other several times a second: cumulative counts, so
- * that a lost or doubled message changes nothing.
+ * Messages between hosts: gossip several times a second, and queries. Counts in
+ * updates are cumulative, so that a lost or duplicated message changes nothing.
  *
  * @module
  */
@@ -21,122 +21,122 @@
   TurnReply,
   TurnRequest,
 } from "../server_limits/mod.ts";
-import type { CarriedTime } from "./fleet_time.ts";
+import type { TimeEstimate } from "./fleet_time.ts";
 import type { FollowedVersions } from "../configuration/configuration_follower.ts";
 
-/** Requests that began in each reporting window, by workspace. */
+/** Requests that started in each reporting window, by workspace. */
 export type WindowCounts = Readonly<
   Record<string, Readonly<Record<string, number>>>
 >;
 
-/** Work at backend servers, by server id. */
+/** Reported work at backend servers, by server id. */
 export type WorkByServer = Readonly<Record<string, ToldWork>>;
 
-/** The lease of the duties as its holder last renewed it. */
+/** The duty lease as its holder last renewed it. */
 export interface LeaseNews {
   readonly fence: number;
   /** Store version of the lease object. */
   readonly version: number;
 }
 
-/** A prompt sent to a server: its shared parts. */
+/** A prompt that was sent to a server, given by its shared parts. */
 export interface DispatchNews {
   readonly server: string;
-  /** Start of the server's life; `undefined` where the sender tells none. */
+  /** Start time of the server's incarnation; `undefined` if it was not reported. */
   readonly born: number | undefined;
   readonly parts: readonly { readonly id: string; readonly tokens: number }[];
 }
 
-/** News of one host. */
+/** Update of one host about itself. */
 export interface PeerNews extends TurnNews {
   readonly host: string;
   readonly dataHall: string;
   /** Processor share of the host, in cores. */
   readonly cores: number;
-  /** Differs for each life of the host's process. */
+  /** Identifies one run of the host's process. */
   readonly incarnation: string;
-  /** Rises with each message of a life. */
+  /** Increases with each update of an incarnation. */
   readonly sequence: number;
-  /** Where the host takes messages. */
+  /** Address at which the host receives messages. */
   readonly address: string;
   /** Time of day at the sender, in milliseconds. */
   readonly wallTime: number;
-  /** Time of day that the sender carries on by its steady clock. */
-  readonly carriedTime: CarriedTime;
+  /** The sender's own estimate of fleet time, from its samples and monotonic clock. */
+  readonly timeEstimate: TimeEstimate;
   readonly stopping: boolean;
   readonly configurationVersion: number;
   /** Milliseconds since the store confirmed that version to the sender. */
   readonly configurationAge: number | undefined;
-  /** Newest changes in the store that the host has followed. */
+  /** Versions of the newest store changes that the host has applied. */
   readonly followed: FollowedVersions;
   readonly admitted: AdmittedTotals;
   readonly levels: BucketLevels;
   readonly work: WorkByServer;
   readonly counts: WindowCounts;
   readonly dispatches: readonly DispatchNews[];
-  /** Prompt tokens sent to each service to be read, since the start. */
+  /** Prompt tokens sent to each service since the host started. */
   readonly readTokens: Readonly<Record<string, number>>;
   readonly lease: LeaseNews | undefined;
-  /** Requests under which servers ended, as the host knows them. */
+  /** Requests during which servers ended, as known to the host. */
   readonly quarantine: readonly QuarantineNews[];
-  /** Roll-outs that are going on, and the host's part in them. */
+  /** Roll-outs in progress, and the host's part in them. */
   readonly rollouts: readonly RolloutNews[];
-  /** Backend servers that said in their answers that they leave. */
+  /** Backend servers that advertised in their answers that they leave. */
   readonly leaving: readonly LeavingNews[];
 }
 
-/** What a relay knows of all hosts but one, to tell that one. */
+/** State of all hosts but one, which a relay sends to that one. */
 export interface FleetView {
   readonly configurationVersion: number;
   readonly configurationAge: number | undefined;
   readonly followed: FollowedVersions;
-  /** Levels of the workspaces' limits over all hosts. */
+  /** Levels of the workspaces' limits across all hosts. */
   readonly levels: BucketLevels;
-  /** Share of the limits that hosts which are not heard may be spending. */
+  /** Share of the limits that silent hosts may be consuming. */
   readonly silentShare: number;
-  /** Work of all other hosts together. */
+  /** Total work of all other hosts. */
   readonly work: WorkByServer;
   readonly leases: readonly LeaseNews[];
   /** The newest changes of backend servers' entries in the store. */
   readonly servers: ChangeBatch | undefined;
-  /** Requests under which servers ended, over all hosts. */
+  /** Requests during which servers ended, as known to any host. */
   readonly quarantine: readonly QuarantineNews[];
-  /** Roll-outs that are going on. */
+  /** Roll-outs in progress. */
   readonly rollouts: readonly RolloutNews[];
-  /** Limits that backend servers name. */
+  /** Limits that backend servers advertise. */
   readonly limits: readonly LimitNews[];
-  /** Backend servers that said in their answers that they leave. */
+  /** Backend servers that advertised in their answers that they leave. */
   readonly leaving: readonly LeavingNews[];
 }
 
-/** A relay's message to one host of its data hall. */
+/** Digest of the fleet, which a relay sends to one host of its data hall. */
 export interface FleetDigest extends FleetView {
   readonly relay: string;
-  /** Newest message of the receiver that the levels take in. */
+  /** Sequence number of the receiver's newest update that the levels include. */
   readonly acknowledged: number;
-  /** Hosts that serve, as far as the relay knows. */
+  /** Number of serving hosts known to the relay. */
   readonly hosts: number;
-  /** Names of the data hall's relays. */
+  /** Names of the relays of the data hall. */
   readonly relays: readonly string[];
-  /** Names of the hosts that give turns at limited servers. */
+  /** Names of the hosts that grant permits for limited servers. */
   readonly turnHolders: readonly string[];
-  /** Time of day on which the hosts agree, in milliseconds. */
+  /** Fleet time, in milliseconds. */
   readonly wallTime: number;
-  /** Samples of clocks behind that time. */
+  /** Number of clock samples that support that time. */
   readonly timeSamples: number;
 }
 
-/** News of one host, and how long ago the sender had it, in milliseconds. */
-export interface AgedNews {
-  readonly news: PeerNews;
+/** Update of one host, and its age at the sender, in milliseconds. */
+export interface AgedUpdate {
+  readonly update: PeerNews;
   readonly age: number;
 }
 
-/** A host's question to a relay whether a request fits into a limit. */
-export interface LimitQuestion {
-  /** Told back in the answer; rises with each question of the host's life. */
+/** Query of a host to a relay: does a request fit into a limit? */
+export interface LimitQuery {
+  /** Repeated in the answer; increases with each query of the host's incarnation. */
   readonly id: number;
-  /** Where the host takes the answer. */
+  /** Address at which the host receives the answer. */
   readonly address: string;
   readonly workspace: string;
   readonly tokens: number;
@@ -144,47 +144,47 @@
   readonly priority: number;
 }
 
-/** A relay's answer to a question. */
+/** Answer of a relay to a limit query. */
 export interface LimitAnswer {
   readonly id: number;
   readonly decision: LimitDecision;
 }
 
-/** A host's question for a turn at a limited server. */
-export interface TurnQuestion extends TurnRequest {
+/** Query of a host for a permit at a limited server. */
+export interface PermitQuery extends TurnRequest {
   readonly id: number;
-  /** Where the host takes the answer. */
+  /** Address at which the host receives the answer. */
   readonly address: string;
 }
 
-/** The answer to a question for a turn. */
-export interface TurnAnswer {
+/** Answer to a permit query. */
+export interface PermitAnswer {
   readonly id: number;
   readonly reply: TurnReply;
 }
 
-/** A host's question to a relay for the newest configuration. */
-export interface ConfigurationQuestion {
-  /** Where the host takes the answer. */
+/** Query of a host to a relay for the newest configuration. */
+export interface ConfigurationQuery {
+  /** Address at which the host receives the answer. */
   readonly address: string;
 }
 
 /** A datagram between hosts. */
 export type PeerMessage =
   | {
-      readonly kind: "news";
+      readonly kind: "updates";
       readonly from: string;
-      /** Whether the sender asks for digests. */
+      /** Whether the sender requests digests. */
       readonly wantsDigest: boolean;
-      readonly news: readonly AgedNews[];
+      readonly updates: readonly AgedUpdate[];
     }
   | { readonly kind: "digest"; readonly digest: FleetDigest }
-  | { readonly kind: "question"; readonly question: LimitQuestion }
-  | { readonly kind: "answer"; readonly answer: LimitAnswer }
-  | { readonly kind: "turn_question"; readonly question: TurnQuestion }
-  | { readonly kind: "turn_answer"; readonly answer: TurnAnswer }
+  | { readonly kind: "limit_query"; readonly query: LimitQuery }
+  | { readonly kind: "limit_answer"; readonly answer: LimitAnswer }
+  | { readonly kind: "permit_query"; readonly query: PermitQuery }
+  | { readonly kind: "permit_answer"; readonly answer: PermitAnswer }
   | {
-      readonly kind: "configuration_question";
-      readonly question: ConfigurationQuestion;
+      readonly kind: "configuration_query";
+      readonly query: ConfigurationQuery;
     }
   | { readonly kind: "configuration"; readonly changes: ChangeBatch };
--- a/packages/rampswitch-serving/src/membership/peer_transport.ts
+++ b/packages/rampswitch-serving/src/membership/peer_transport.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Datagrams between hosts. News is periodic and cumulative, so lost messages
- * need no repeat and no connection has to be kept to any peer.
+ * UDP transport between hosts. Gossip is periodic and cumulative, so a lost
+ * message needs no retransmission and peers need no connections.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 
 /** Sends and receives datagrams. */
 export interface PeerTransport extends AsyncDisposable {
-  /** IP number and port that peers send to. */
+  /** IP address and port that peers send to. */
   readonly address: string;
   send(address: string, datagram: Buffer): void;
 }
 
-/** Opens a UDP socket; every datagram goes to `receive`. */
+/** Opens a UDP socket that passes every datagram to `receive`. */
 export async function openPeerTransport(
   address: string,
   receive: (datagram: Buffer) => void,
@@ -25,7 +25,7 @@
   const { host, port } = splitAddress(address);
   const socket = createSocket("udp4");
   socket.on("message", receive);
-  await bound(socket, host, port);
+  await bindSocket(socket, host, port);
   socket.on("error", onError);
   return {
     address: `${host}:${socket.address().port}`,
@@ -42,7 +42,7 @@
   };
 }
 
-function bound(socket: Socket, host: string, port: number): Promise<void> {
+function bindSocket(socket: Socket, host: string, port: number): Promise<void> {
   return new Promise((resolve, reject) => {
     socket.once("error", reject);
     socket.bind(port, host, () => {
--- a/packages/rampswitch-serving/src/membership/turn_codec.ts
+++ b/packages/rampswitch-serving/src/membership/permit_codec.ts
@@ -1,20 +1,24 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The form of limits and turns in messages between hosts.
+ * Encoding of server limits, lent time slots and permits in messages between
+ * hosts.
  *
  * @module
  */
 import * as z from "zod";
 import type { LimitNews, LentTo, TurnReply } from "../server_limits/mod.ts";
 
-/** Most characters of a name in a message. */
-const LONGEST_NAME = 256;
+/** Maximum length of a name, in characters. */
+const MAXIMUM_NAME_CHARACTERS = 256;
 
-/** A name of a host, a service or a server. */
-export const NAME_SCHEMA = z.string().min(1).max(LONGEST_NAME);
+/** Name of a host, a service or a server. */
+export const NAME_SCHEMA = z.string().min(1).max(MAXIMUM_NAME_CHARACTERS);
 
-/** Server, start of its life, requests a second (`null`: no limit), age. */
+/**
+ * Server id, start time of its incarnation, requests a second (`null`: no limit),
+ * age in milliseconds.
+ */
 const LIMIT_SCHEMA = z.tuple([
   NAME_SCHEMA,
   z.number().nullable(),
@@ -22,14 +26,17 @@
   z.number().nonnegative(),
 ]);
 
-/** Limits; a key of its own in messages: hosts of a former version pass over it. */
+/**
+ * Limits of servers. The list has a message key of its own, which hosts of an
+ * earlier version ignore.
+ */
 export const LIMITS_SCHEMA = z.array(LIMIT_SCHEMA).optional();
 
-/** To which host slots are lent, by service; a key of its own, as above. */
+/** Host that time slots are lent to, by service; has a key of its own, as above. */
 export const LENT_SCHEMA = z.record(z.string(), NAME_SCHEMA).optional();
 
-/** A question for a turn. */
-export const TURN_QUESTION_SCHEMA = z.object({
+/** Query for a permit. */
+export const PERMIT_QUERY_SCHEMA = z.object({
   k: z.literal("u"),
   i: z.number(),
   a: z.string(),
@@ -38,14 +45,14 @@
   p: z.enum(["ordinary", "urgent", "continuation"]),
 });
 
-/** Its answer: the server, or the milliseconds after which to ask again. */
-export const TURN_ANSWER_SCHEMA = z.object({
+/** Answer to a query for a permit: the server, or the milliseconds to wait. */
+export const PERMIT_ANSWER_SCHEMA = z.object({
   k: z.literal("v"),
   i: z.number(),
   r: z.union([NAME_SCHEMA, z.number().nonnegative()]),
 });
 
-/** Encodes limits; nothing where there are none. */
+/** Encodes limits; `undefined` when there are none. */
 export function encodedLimits(
   limits: readonly LimitNews[],
 ): z.input<typeof LIMITS_SCHEMA> {
@@ -70,13 +77,13 @@
   }));
 }
 
-/** Encodes loans of slots; nothing where there are none. */
+/** Encodes loans of time slots; `undefined` when there are none. */
 export function encodedLoans(lentTo: LentTo): z.input<typeof LENT_SCHEMA> {
   return Object.keys(lentTo).length === 0 ? undefined : lentTo;
 }
 
-/** Decodes the answer to a question for a turn. */
-export function turnReplyOf(encoded: string | number): TurnReply {
+/** Decodes the answer to a query for a permit. */
+export function permitReplyOf(encoded: string | number): TurnReply {
   return typeof encoded === "string"
     ? { kind: "given", server: encoded }
     : { kind: "wait", milliseconds: encoded };
--- a/packages/rampswitch-serving/src/membership/relay_plan.ts
+++ b/packages/rampswitch-serving/src/membership/relay_plan.ts
@@ -1,17 +1,17 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which hosts pass news on. In a small fleet every host tells every other. In a
- * larger one, two hosts of each data hall are relays: the other hosts of their
- * data hall tell them alone, relays tell each other, and each host hears from
- * its relays one digest of the whole fleet. Pure; all hosts that see the same
- * hosts plan the same relays.
+ * Selection of relays for gossip. In a small fleet every host sends updates to
+ * every other. In a larger fleet, two hosts of each data hall are relays: the
+ * other hosts of the data hall send updates to them alone, relays exchange
+ * updates, and each host receives a digest of the whole fleet from its relays.
+ * The functions are pure: hosts with the same list of hosts select the same relays.
  *
  * @module
  */
 import { rendezvousOrder } from "rampswitch-utils";
 
-/** A host as the plan sees it. */
+/** Attributes of a host that the selection of relays uses. */
 export interface PlannedHost {
   readonly name: string;
   readonly dataHall: string;
@@ -20,20 +20,21 @@
 }
 
 /**
- * Most hosts that all tell each other. At four messages a second and 1.3 KB
- * each, 15 peers cost a host 80 KB/s both ways; relays cost it a tenth.
+ * Maximum number of hosts that all send updates to each other. At four messages
+ * a second of 1.3 KB each, 15 peers cost a host 80 KB/s in each direction; with
+ * relays it is a tenth of that.
  */
 export const MOST_DIRECT_HOSTS = 16;
 
-/** Relays of a data hall: the loss of one leaves the other. */
+/** Relays of a data hall; two, so that one remains if the other is lost. */
 export const RELAYS_PER_DATA_HALL = 2;
 
-/** Whether a fleet of so many hosts needs relays. */
+/** Whether a fleet of this many hosts needs relays. */
 export function needsRelays(hosts: number): boolean {
   return hosts > MOST_DIRECT_HOSTS;
 }
 
-/** Hosts of one data hall, best relay first: most processor, then by hash. */
+/** Hosts of a data hall, best relay first: by processor share, then by hash. */
 export function relayOrder(
   hosts: readonly PlannedHost[],
   dataHall: string,
@@ -46,7 +47,7 @@
   ).toSorted((left, right) => (cores.get(right) ?? 0) - (cores.get(left) ?? 0));
 }
 
-/** The relays of one data hall. */
+/** The relays of a data hall. */
 export function relaysOf(
   hosts: readonly PlannedHost[],
   dataHall: string,
@@ -54,31 +55,31 @@
   return relayOrder(hosts, dataHall).slice(0, RELAYS_PER_DATA_HALL);
 }
 
-/** How often news is told and how old it may be, in milliseconds. */
-export interface NewsPace {
-  /** Time between messages. */
+/** Timing of gossip, in milliseconds. */
+export interface GossipTiming {
+  /** Time between rounds. */
   readonly interval: number;
-  /** Age that news of others usually has at most. */
+  /** Usual maximum age of updates of other hosts. */
   readonly lag: number;
-  /** Silence after which others are taken not to be heard. */
+  /** Time without messages after which a host counts as silent. */
   readonly silence: number;
 }
 
 /**
- * Pace of a small fleet: four messages a second; lag and silence leave room for
- * one and for two lost ones.
+ * Timing in a small fleet: four messages a second. The lag allows for one lost
+ * message, the silence for two.
  */
-export const DIRECT_PACE: NewsPace = {
+export const DIRECT_PACE: GossipTiming = {
   interval: 250,
   lag: 350,
   silence: 700,
 };
 
 /**
- * Pace with relays: three steps from host to host. Slower, so that a host stays
- * within some 9 KB a second.
+ * Timing with relays, where an update takes three hops. It is slower, so that a
+ * host stays within about 9 KB a second.
  */
-export const RELAYED_PACE: NewsPace = {
+export const RELAYED_PACE: GossipTiming = {
   interval: 400,
   lag: 1_200,
   silence: 2_000,
--- a/packages/rampswitch-serving/src/membership/rollout_codec.ts
+++ b/packages/rampswitch-serving/src/membership/rollout_codec.ts
@@ -1,22 +1,23 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The form of news about roll-outs in messages between hosts.
+ * Encoding of roll-out updates in messages between hosts.
  *
  * @module
  */
 import * as z from "zod";
 import type { RolloutNews } from "../rollout/rollout.ts";
 
-/** Most characters of a version's or a service's name in a message. */
-const LONGEST_NAME = 256;
+/** Maximum length of the name of a version or a service, in characters. */
+const MAXIMUM_NAME_CHARACTERS = 256;
 
-const name = z.string().min(1).max(LONGEST_NAME);
+const name = z.string().min(1).max(MAXIMUM_NAME_CHARACTERS);
 const counts = z.record(z.string(), z.number().int().nonnegative());
 
 /**
- * Order (service, target version, time), versions of the baseline, store version,
- * time left, phase, and the teller's own part.
+ * Roll-out spec (service, target version, duration in milliseconds), versions of
+ * the baseline, store version, remaining milliseconds, phase, and the sender's own
+ * part (`null` from relays).
  */
 const ROLLOUT_SCHEMA = z.tuple([
   name,
@@ -29,16 +30,16 @@
   z.tuple([z.boolean(), counts, counts]).nullable(),
 ]);
 
-/** A key of its own in messages: hosts of a former version pass over it. */
+/** Has a message key of its own, which hosts of an earlier version ignore. */
 export const ROLLOUTS_SCHEMA = z.array(ROLLOUT_SCHEMA).optional();
 
 type EncodedRollout = z.input<typeof ROLLOUT_SCHEMA>;
 
-/** Encodes news. */
+/** Encodes roll-out updates. */
 export function encodedRollouts(
-  news: readonly RolloutNews[],
+  updates: readonly RolloutNews[],
 ): EncodedRollout[] {
-  return news.map(({ order, own, ...one }) => [
+  return updates.map(({ order, own, ...one }) => [
     order.service,
     order.toVersion,
     order.durationMilliseconds,
@@ -52,7 +53,7 @@
   ]);
 }
 
-/** Decodes news. */
+/** Decodes roll-out updates. */
 export function rolloutsOf(
   encoded: z.output<typeof ROLLOUTS_SCHEMA>,
 ): readonly RolloutNews[] {
