--- a/packages/rampswitch-serving/src/membership/fleet_hosts.ts
+++ b/packages/rampswitch-serving/src/membership/fleet_hosts.ts
@@ -219,7 +219,7 @@
     { stopping }: { readonly stopping: boolean },
   ): readonly string[] {
     const role = this.role(now);
-    if (role === "member") return this.#freshDigest(now)?.turnHolders ?? [];
+    if (role === "member") return this.#freshDigest(now)?.permitHolders ?? [];
     const oldest = now - PERMIT_HOLDER_SILENCE_MILLISECONDS[role];
     const others = this.all().filter(
       ({ receivedAt, relayAt, stopping }) =>
--- a/packages/rampswitch-serving/src/membership/membership.ts
+++ b/packages/rampswitch-serving/src/membership/membership.ts
@@ -476,7 +476,7 @@
       relay: this.#parts.host,
       hosts: this.#hosts.size(now),
       relays: this.#hosts.ownRelays(now),
-      turnHolders: this.#permitHolders(now),
+      permitHolders: this.#permitHolders(now),
       wallTime: time.wallTime,
       timeSamples: time.samples,
     };
--- a/packages/rampswitch-serving/src/membership/membership_test.ts
+++ b/packages/rampswitch-serving/src/membership/membership_test.ts
@@ -554,7 +554,7 @@
         acknowledged: 3,
         hosts: 90,
         relays: ["a", "b"],
-        turnHolders: ["a", "c"],
+        permitHolders: ["a", "c"],
         wallTime: 5,
         timeSamples: 900,
       },
--- a/packages/rampswitch-serving/src/membership/peer_codec.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec.ts
@@ -321,7 +321,7 @@
     w: encodedWork(digest.work),
     m: encodedLimits(digest.limits),
     a: encodedLeaving(digest.leaving),
-    ...(digest.turnHolders.length === 0 ? {} : { h: [...digest.turnHolders] }),
+    ...(digest.permitHolders.length === 0 ? {} : { h: [...digest.permitHolders] }),
     l: digest.leases.map(({ fence, version }) => [fence, version]),
     ...encodedIncarnations(digest.work, []),
     ...(digest.quarantine.length === 0
@@ -410,7 +410,7 @@
     rollouts: rolloutsOf(message.p),
     limits: limitsOf(message.m),
     leaving: leavingOf(message.a),
-    turnHolders: message.h ?? [],
+    permitHolders: message.h ?? [],
   };
 }
 
--- a/packages/rampswitch-serving/src/membership/peer_news.ts
+++ b/packages/rampswitch-serving/src/membership/peer_news.ts
@@ -119,7 +119,7 @@
   /** Names of the relays of the data hall. */
   readonly relays: readonly string[];
   /** Names of the hosts that grant permits for limited servers. */
-  readonly turnHolders: readonly string[];
+  readonly permitHolders: readonly string[];
   /** Fleet time, in milliseconds. */
   readonly wallTime: number;
   /** Number of clock samples that support that time. */
