--- a/packages/rampswitch-serving/src/membership/peer_codec.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec.ts
@@ -321,7 +321,9 @@
     w: encodedWork(digest.work),
     m: encodedLimits(digest.limits),
     a: encodedLeaving(digest.leaving),
-    ...(digest.permitHolders.length === 0 ? {} : { h: [...digest.permitHolders] }),
+    ...(digest.permitHolders.length === 0
+      ? {}
+      : { h: [...digest.permitHolders] }),
     l: digest.leases.map(({ fence, version }) => [fence, version]),
     ...encodedIncarnations(digest.work, []),
     ...(digest.quarantine.length === 0
