--- a/packages/rampswitch-serving/src/model/backend_server.ts
+++ b/packages/rampswitch-serving/src/model/backend_server.ts
@@ -6,40 +6,41 @@
  * @module
  */
 
-/** A server at one moment: its id, and when its life began if that is known. */
+/** One incarnation of a server: its id and, if known, when it started. */
 export interface ServerLife {
   readonly id: string;
-  /** Milliseconds since the epoch. */
+  /** Start of the incarnation, in milliseconds since 1970. */
   readonly born?: number | undefined;
 }
 
-/** Names one life among all lives of all servers. */
+/** Returns an id that is unique among all incarnations of all servers. */
 export function nameOfLife({ id, born }: ServerLife): string {
   return born === undefined ? id : `${id}/${born}`;
 }
 
-/** Whether a backend server takes new work. */
+/** Whether a backend server accepts new work. */
 export type BackendServerState = "ready" | "leaving";
 
 /**
- * One life of a backend server. A server that starts again keeps its id and its
- * address, and holds and knows nothing of its former life.
+ * One incarnation of a backend server. A restarted server keeps its id and its
+ * address, but none of the state of its former incarnation.
  */
 export interface BackendServer {
   readonly id: string;
   /**
-   * Start of this life, in milliseconds since 1970; `undefined` where a server
-   * tells none and has one life for its id.
+   * Start of this incarnation, in milliseconds since 1970; `undefined` where a
+   * server reports none and has only one incarnation for its id.
    */
   readonly born: number | undefined;
   readonly service: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly dataHall: string;
   /** Version of its software. */
   readonly version: string;
+  /** Requests that the server runs at once. */
   readonly slots: number;
   readonly state: BackendServerState;
-  /** Whether the cloud may take its host back. */
+  /** Whether the cloud may reclaim its host. */
   readonly reclaimable: boolean;
 }
--- a/packages/rampswitch-serving/src/model/cloud.ts
+++ b/packages/rampswitch-serving/src/model/cloud.ts
@@ -1,25 +1,25 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The duties' calls to the platform's cloud.
+ * Calls of the duties to the platform's cloud.
  *
  * @module
  */
 import type { Result } from "true-myth";
 
-/** Who calls, under which fence. */
+/** The holder of the duties that makes a call, and its fence. */
 export interface Fence {
   readonly holder: string;
   readonly fence: number;
 }
 
-/** Requests of one window by workspace. */
+/** Requests in one window, by workspace. */
 export interface UsageReport {
   readonly window: number;
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** Servers that a data hall is to have. */
+/** The number of servers that a data hall should have. */
 export interface ServerOrder {
   readonly service: string;
   readonly dataHall: string;
@@ -27,9 +27,9 @@
   readonly desired: number;
 }
 
-/** Why a call was not carried out, or may not have been. */
+/** Why a call was not executed, or may not have been. */
 export type CloudError =
-  /** A higher fence was seen, or none of the servers are to be had. */
+  /** The cloud has seen a higher fence, or has none of the ordered servers. */
   "conflict" | "too_many_calls" | "refused" | "no_answer";
 
 /** Calls of the duties. */
--- a/packages/rampswitch-serving/src/model/configuration.ts
+++ b/packages/rampswitch-serving/src/model/configuration.ts
@@ -1,13 +1,12 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The configuration that operators put in force, as the request pipeline uses
- * it.
+ * The operators' configuration, as the request pipeline uses it.
  *
  * @module
  */
 
-/** How often a request on a route may run. */
+/** Whether a request on a route may run more than once. */
 export type Repeatability = "at_most_once" | "repeatable";
 
 /** A service that a route may send to, and its share of the route's requests. */
@@ -16,80 +15,82 @@
   readonly weight: number;
 }
 
-/** One route: where requests of a host name and path prefix go. */
+/** A route: the targets of requests with a host name and a path prefix. */
 export interface Route {
   readonly name: string;
   readonly hostName: string;
   readonly pathPrefix: string;
   readonly streaming: boolean;
   readonly repeatability: Repeatability;
-  /** Whether a broken stream may go on at another backend server. */
+  /** Whether a broken stream may resume at another backend server. */
   readonly resumable: boolean;
   /** Whether requests are served without a key. */
   readonly open: boolean;
   readonly targets: readonly RouteTarget[];
-  /** Backend servers that may run one request, at most. */
+  /** Maximum number of backend servers that may run one request. */
   readonly maximumRuns: number;
-  /** Longest time that a request may be held, in milliseconds. */
+  /** Maximum time for which a request may be held, in milliseconds. */
   readonly timeoutMilliseconds: number;
-  /** Time to the first part of an answer that operators want. */
+  /** Target for the time to the first part of an answer, in milliseconds. */
   readonly targetMilliseconds: number;
-  /** Rank between routes; 0 is the most urgent. */
+  /** Rank among routes; 0 is the most urgent. */
   readonly priority: number;
 }
 
-/** What a service's model engines can hold. */
+/** Capacity of a service's model engines. */
 export interface EngineLimits {
-  /** Requests that run at once on one engine. */
+  /** Requests that one engine runs at once. */
   readonly slots: number;
-  /** Tokens of prompts and answers that one engine's memory holds. */
+  /** Tokens of prompts and answers that one engine's KV-cache memory holds. */
   readonly memoryTokens: number;
-  /** Whether a run's memory may be moved to another engine. */
+  /** Whether a run's memory may be migrated to another engine. */
   readonly movable: boolean;
   /**
-   * Tokens of memory that the link between two engines takes in a millisecond;
-   * `undefined` where engines do not copy kept parts from each other.
+   * Tokens of memory that the link between two engines transfers in a millisecond;
+   * `undefined` where engines do not copy cached parts from each other.
    */
   readonly copyTokensPerMillisecond?: number | undefined;
 }
 
 /** Bounds and prices of ordered backend servers. */
 export interface CapacityLimits {
-  /** Fewest and most backend servers in each data hall. */
+  /** Minimum number of backend servers in each data hall. */
   readonly minimum: number;
+  /** Maximum number of backend servers in each data hall. */
   readonly maximum: number;
+  /** Time that a backend server takes to start. */
   readonly startMilliseconds: number;
-  /** Price of a reclaimable server as a share of one on demand. */
+  /** Price of a reclaimable server, as a share of the on-demand price. */
   readonly reclaimablePriceShare: number;
-  /** Price of one server on demand in a data hall, for one second. */
+  /** On-demand price of one server for one second, by data hall. */
   readonly dataHallPrices: ReadonlyMap<string, number>;
 }
 
-/** One service. */
+/** A service that backend servers provide. */
 export interface Service {
   readonly name: string;
-  /** Connections that one backend server takes from all hosts together. */
+  /** Connections that one backend server accepts from all hosts together. */
   readonly maximumConnections: number;
   readonly engine: EngineLimits | undefined;
   readonly capacity: CapacityLimits | undefined;
 }
 
-/** What one workspace may send. */
+/** Keys and limits of one workspace. */
 export interface Workspace {
   readonly name: string;
   readonly keys: readonly string[];
   readonly priority: number;
-  /** Tokens a second over all hosts; 0 means no limit. */
+  /** Tokens per second over all hosts; 0 means no limit. */
   readonly tokensPerSecond: number;
-  /** Tokens that may be sent above the rate at once. */
+  /** Tokens that may be sent at once above the rate. */
   readonly burstTokens: number;
-  /** Tokens that a request without an estimate counts. */
+  /** Tokens that are counted for a request without an estimate. */
   readonly tokensWithoutEstimate: number;
-  /** Whether the limit counts tokens; otherwise it counts requests. */
+  /** Whether the limit counts tokens instead of requests. */
   readonly countsTokens: boolean;
 }
 
-/** Limits on what callers may send. */
+/** Limits on the size and duration of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -97,7 +98,7 @@
   readonly idleMilliseconds: number;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface ServingConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
--- a/packages/rampswitch-serving/src/model/engine_control.ts
+++ b/packages/rampswitch-serving/src/model/engine_control.ts
@@ -1,54 +1,54 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Calls to model engines beside requests.
+ * Calls to model engines other than callers' requests.
  *
  * @module
  */
 import type { Result } from "true-myth";
 import type { ServerStatements } from "./request.ts";
 
-/** A run whose memory is to be copied to another engine. */
+/** A run whose KV-cache memory is to be copied to another engine. */
 export interface MemoryCopy {
   /** Address of the engine that runs the request. */
   readonly from: string;
-  /** Address of the engine that gets the copy. */
+  /** Address of the engine that receives the copy. */
   readonly to: string;
   readonly attemptId: string;
-  /** Whether the run stops, so that it can go on from the copy. */
+  /** Whether the run stops, so that it can continue from the copy. */
   readonly stopsRun: boolean;
 }
 
-/** Memory that an engine keeps or holds a copy of. */
+/** Memory that an engine retains, and that another may have copied. */
 export interface KeptMemory {
-  /** Names the memory at the engine that was copied from. */
+  /** Identifies the memory at the engine that it was copied from. */
   readonly handle: string;
-  /** Whether the other engine has it too; if not, only the first keeps it. */
+  /** Whether the other engine has a copy; if not, only the first retains it. */
   readonly copied: boolean;
 }
 
-/** Why there is neither a copy nor a stopped run. */
+/** Why the memory was not copied and the run did not stop. */
 export type MemoryCopyError =
   "no_run" | "under_way" | "no_room" | "no_answer" | "refused";
 
-/** What an engine says of itself. */
+/** State that an engine reports of itself. */
 export interface EngineReport {
-  /** Milliseconds until it ends, where it knows. */
+  /** Milliseconds until it ends, if it knows. */
   readonly leavesMilliseconds: number | undefined;
-  /** Start of its life, in milliseconds since 1970, where it tells one. */
+  /** Start of its incarnation, in milliseconds since 1970, if it reports one. */
   readonly born: number | undefined;
   readonly says: ServerStatements;
 }
 
 /** Calls to model engines. */
 export interface EngineControl {
-  /** What the engine at an address says; nothing where it does not answer. */
+  /** Report of the engine at an address; `undefined` if it does not answer. */
   report(address: string): Promise<EngineReport | undefined>;
   /**
    * Copies a run's memory. A run that is to stop may stop although the other
-   * engine has no room: its memory then lies where it ran.
+   * engine has no capacity: its memory is then retained where it ran.
    */
   copyMemory(copy: MemoryCopy): Promise<Result<KeptMemory, MemoryCopyError>>;
-  /** Frees a copy that nobody needs any more; tells whether it was freed. */
+  /** Frees a copy that is no longer needed; returns whether it was freed. */
   dropCopy(from: string, handle: string): Promise<boolean>;
 }
--- a/packages/rampswitch-serving/src/model/outcome.ts
+++ b/packages/rampswitch-serving/src/model/outcome.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Why requests end and why they are sent again: one closed list each, which
- * counters and log lines use.
+ * Reasons why requests end and why they are sent again. Counters and log lines
+ * use only the values of these lists.
  *
  * @module
  */
 
-/** Reasons to end a request with an answer of this host's own. */
+/** Reasons for which a host ends a request with an answer of its own. */
 export const REFUSAL_REASONS = [
   "no_configuration",
   "configuration_not_confirmed",
@@ -32,7 +32,7 @@
 /** One of {@link REFUSAL_REASONS}. */
 export type RefusalReason = (typeof REFUSAL_REASONS)[number];
 
-/** Status of each refusal, and whether it promises that nothing ran. */
+/** HTTP status of each refusal, and whether it guarantees that nothing ran. */
 export const REFUSALS: Readonly<
   Record<RefusalReason, { readonly status: number; readonly notRun: boolean }>
 > = {
--- a/packages/rampswitch-serving/src/observation/bounded_output.ts
+++ b/packages/rampswitch-serving/src/observation/bounded_output.ts
@@ -1,53 +1,56 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Lines on their way out: each is written at once while the reader keeps up, and
- * waits in bounded memory while it does not. A line goes out whole or not at
- * all, and each that does not is told to an observer.
+ * A bounded output for lines: each line is written at once while the reader keeps
+ * up, and is buffered in bounded memory while it does not. A line is written
+ * completely or not at all, and each lost line is reported to an observer.
  *
  * @module
  */
 import { type Clock, sleep } from "rampswitch-utils";
-import type { LineSink, Written } from "./line_sink.ts";
+import type { LineSink, WriteResult } from "./line_sink.ts";
 
-/** Which lines are kept when room is short. */
+/** Which lines are buffered when space is short. */
 export type LineImportance = "ordinary" | "expendable";
 
 /**
- * Bytes that wait at most, by importance; some seconds of lines under heavy
- * load. Half of the room is kept from expendable lines, which callers can cause
- * in any number.
+ * Maximum number of buffered bytes up to which a line is accepted, by importance;
+ * enough for some seconds of lines under heavy load. Half of the buffer is closed
+ * to expendable lines, because callers can cause any number of them.
  */
-const ROOM_BYTES: Readonly<Record<LineImportance, number>> = {
+const MAXIMUM_BUFFERED_BYTES: Readonly<Record<LineImportance, number>> = {
   ordinary: 256 * 1024,
   expendable: 128 * 1024,
 };
 
-/** Wait after a write of which a slow reader took a part or none, in milliseconds. */
-const TURNED_AWAY_MILLISECONDS = 20;
+/**
+ * Wait after a write of which a slow reader took only a part or nothing, in
+ * milliseconds.
+ */
+const SLOW_READER_WAIT_MILLISECONDS = 20;
 
 /**
- * Wait after a write that failed, in milliseconds; a new reader gets lines soon
- * and an absent one costs four system calls a second.
+ * Wait after a failed write, in milliseconds. A new reader gets lines soon, and
+ * an absent one costs only four system calls per second.
  */
-const FAILED_MILLISECONDS = 250;
+const FAILED_WRITE_WAIT_MILLISECONDS = 250;
 
-/** Time between looks whether all is written, in milliseconds. */
-const LOOK_MILLISECONDS = 5;
+/** Time between checks whether all lines are written, in milliseconds. */
+const DRAIN_POLL_INTERVAL_MILLISECONDS = 5;
 
-const LINE_END = 0x0a;
+const NEWLINE_BYTE = 0x0a;
 
 /**
- * Written before the first line: a former life of the process may have been
- * killed within one.
+ * Written before the first line, because a former incarnation of the process may
+ * have been killed in the middle of a line.
  */
-const FIRST_LINE_END = "\n";
+const LEADING_NEWLINE = "\n";
 
-/** Why lines are lost. */
+/** Why lines were lost. */
 export type LossReason =
   /** The reader was too slow. */
   | "no_room"
-  /** Writes failed, and newer lines needed the room. */
+  /** Writes failed, and newer lines needed the space. */
   | "write_failed";
 
 /** Lines that will never be written. */
@@ -57,38 +60,38 @@
   readonly bytes: number;
 }
 
-/** Hears of losses, and has them told among the lines. */
+/** Is notified of losses, and provides lines that report them. */
 export interface OutputObserver {
   /** Lines were lost. */
   lost(loss: LineLoss): void;
-  /** A write failed for another reason than a slow reader. */
+  /** A write failed for a reason other than a slow reader. */
   failed(code: string): void;
-  /** Takes the lines that tell of losses so far. */
+  /** Returns lines that report the losses since the last call. */
   takeNotices(): readonly string[];
 }
 
-/** Bytes of whole lines that are being written, in any number of parts. */
+/** Bytes that are being written, in any number of parts; they end with a line. */
 interface Batch {
   readonly bytes: Buffer;
   readonly offset: number;
-  /** Whether the bytes begin within a line. */
-  readonly beginsWithin: boolean;
+  /** Whether the bytes begin in the middle of a line. */
+  readonly startsMidLine: boolean;
 }
 
-/** A bounded writer of lines that never blocks. */
+/** A bounded writer of lines that does not block. */
 export class BoundedOutput {
   readonly #sink: LineSink;
   readonly #clock: Clock;
   readonly #observer: OutputObserver;
-  #waiting: string[] = [FIRST_LINE_END];
-  #waitingBytes = 0;
+  #buffered: string[] = [LEADING_NEWLINE];
+  #bufferedBytes = 0;
   #batch: Batch | undefined;
   #writing = false;
-  #timed = false;
+  #writeScheduled = false;
   /** Whether the newest write failed. */
   #failing = false;
-  #lossToTell = false;
-  #notBefore = -Infinity;
+  #hasUnreportedLoss = false;
+  #nextWriteAt = -Infinity;
 
   constructor(
     sink: LineSink,
@@ -99,158 +102,170 @@
     this.#observer = options.observer;
   }
 
-  /** Writes a line, which ends with a line's end, as soon as the reader takes it. */
+  /** Writes a line, which must end with a newline, as soon as the reader takes it. */
   push(line: string, importance: LineImportance = "ordinary"): void {
     const bytes = Buffer.byteLength(line);
-    const room = ROOM_BYTES[importance];
-    const isFull = () => this.#waitingBytes + bytes > room;
-    // Newer lines matter more to whoever reads next.
+    const maximumBytes = MAXIMUM_BUFFERED_BYTES[importance];
+    const isFull = () => this.#bufferedBytes + bytes > maximumBytes;
+    // Newer lines matter more to the next reader.
     if (isFull() && this.#failing && importance === "ordinary") {
-      this.#giveBatchUp();
+      this.#dropBatch();
     }
     if (isFull()) {
-      this.#lose({ reason: "no_room", lines: 1, bytes });
+      this.#reportLoss({ reason: "no_room", lines: 1, bytes });
     } else {
-      this.#waiting.push(line);
-      this.#waitingBytes += bytes;
+      this.#buffered.push(line);
+      this.#bufferedBytes += bytes;
     }
-    this.#goOn();
+    this.#scheduleWrite();
   }
 
   /** Waits, up to some milliseconds, until all lines are written. */
-  async emptied(milliseconds: number): Promise<void> {
+  async drained(milliseconds: number): Promise<void> {
     const endsAt = this.#clock.now() + milliseconds;
-    while (this.#holdsLines() && this.#clock.now() < endsAt) {
-      await sleep(this.#clock, LOOK_MILLISECONDS);
+    while (this.#hasPendingLines() && this.#clock.now() < endsAt) {
+      await sleep(this.#clock, DRAIN_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
   /**
-   * Writes what the sink takes now, before it returns; for the process's end. Of
-   * what it does not take nobody is left to tell.
+   * Writes synchronously as much as the sink takes, for the end of the process.
+   * The loss of the rest can't be reported any more.
    */
-  writeAtOnce(): void {
+  writeSync(): void {
     const batch = this.#writing ? undefined : this.#batch;
     if (!this.#writing) this.#batch = undefined;
     const rest = batch?.bytes.subarray(batch.offset) ?? Buffer.alloc(0);
-    // One write: behind a part of the rest, lines would go on within another one.
+    // One write: after a partial write of the rest, further lines would continue
+    // in the middle of another line.
     const bytes = Buffer.concat([rest, Buffer.from(this.#takeLines())]);
     if (bytes.length > 0) this.#sink.writeAtOnce(bytes);
   }
 
-  #holdsLines(): boolean {
+  #hasPendingLines(): boolean {
     return (
-      this.#batch !== undefined || this.#waitingBytes > 0 || this.#lossToTell
+      this.#batch !== undefined ||
+      this.#bufferedBytes > 0 ||
+      this.#hasUnreportedLoss
     );
   }
 
-  #lose(loss: LineLoss): void {
-    this.#lossToTell = true;
+  #reportLoss(loss: LineLoss): void {
+    this.#hasUnreportedLoss = true;
     this.#observer.lost(loss);
   }
 
-  /** Starts the next write, now or at its time, unless one is under way. */
-  #goOn(): void {
-    if (this.#writing || this.#timed || !this.#holdsLines()) return;
-    const wait = this.#notBefore - this.#clock.now();
+  /** Starts the next write, now or when it is due, unless one is in progress. */
+  #scheduleWrite(): void {
+    if (this.#writing || this.#writeScheduled || !this.#hasPendingLines())
+      return;
+    const wait = this.#nextWriteAt - this.#clock.now();
     if (wait <= 0) {
       this.#writeBatch();
       return;
     }
-    this.#timed = true;
+    this.#writeScheduled = true;
     this.#clock.after(wait, () => {
-      this.#timed = false;
-      this.#goOn();
+      this.#writeScheduled = false;
+      this.#scheduleWrite();
     });
   }
 
   #writeBatch(): void {
-    this.#takeWaiting();
+    this.#fillBatch();
     const batch = this.#batch;
     if (batch === undefined) return;
     this.#writing = true;
     this.#sink.write(batch.bytes.subarray(batch.offset), (written) => {
       this.#writing = false;
-      this.#wrote(batch, written);
-      this.#goOn();
+      this.#handleWritten(batch, written);
+      this.#scheduleWrite();
     });
   }
 
-  #wrote(batch: Batch, written: Written): void {
+  #handleWritten(batch: Batch, written: WriteResult): void {
     if (written.isErr) {
-      this.#turnedAway(written.error);
+      this.#handleWriteError(written.error);
       return;
     }
     this.#failing = false;
     const offset = batch.offset + written.value;
-    const isWhole = offset === batch.bytes.length;
-    this.#batch = isWhole ? undefined : { ...batch, offset };
-    if (!isWhole) this.#pause(TURNED_AWAY_MILLISECONDS);
+    const isComplete = offset === batch.bytes.length;
+    this.#batch = isComplete ? undefined : { ...batch, offset };
+    if (!isComplete) this.#delayNextWrite(SLOW_READER_WAIT_MILLISECONDS);
   }
 
-  #turnedAway({ code }: NodeJS.ErrnoException): void {
+  #handleWriteError({ code }: NodeJS.ErrnoException): void {
     if (code === "EAGAIN") {
       this.#failing = false;
-      this.#pause(TURNED_AWAY_MILLISECONDS);
+      this.#delayNextWrite(SLOW_READER_WAIT_MILLISECONDS);
       return;
     }
     this.#failing = true;
     this.#observer.failed(code ?? "unknown");
-    this.#pause(FAILED_MILLISECONDS);
+    this.#delayNextWrite(FAILED_WRITE_WAIT_MILLISECONDS);
   }
 
-  #pause(milliseconds: number): void {
-    this.#notBefore = this.#clock.now() + milliseconds;
+  #delayNextWrite(milliseconds: number): void {
+    this.#nextWriteAt = this.#clock.now() + milliseconds;
   }
 
-  /** Makes a batch of all that waits, unless there is one. */
-  #takeWaiting(): void {
+  /** Makes a batch of all buffered lines, unless there is one. */
+  #fillBatch(): void {
     if (this.#batch !== undefined) return;
     const lines = this.#takeLines();
     this.#batch = {
       bytes: Buffer.from(lines),
       offset: 0,
-      beginsWithin: lines.startsWith(FIRST_LINE_END),
+      startsMidLine: lines.startsWith(LEADING_NEWLINE),
     };
   }
 
   #takeLines(): string {
-    const notices = this.#lossToTell ? this.#observer.takeNotices() : [];
-    this.#lossToTell = false;
-    return this.#takeWaitingLines() + notices.join("");
+    const notices = this.#hasUnreportedLoss ? this.#observer.takeNotices() : [];
+    this.#hasUnreportedLoss = false;
+    return this.#takeBufferedLines() + notices.join("");
   }
 
-  #takeWaitingLines(): string {
-    const lines = this.#waiting.join("");
-    this.#waiting = [];
-    this.#waitingBytes = 0;
+  #takeBufferedLines(): string {
+    const lines = this.#buffered.join("");
+    this.#buffered = [];
+    this.#bufferedBytes = 0;
     return lines;
   }
 
   /**
-   * Gives up the lines of the batch, but for the rest of one that is half out,
-   * and makes a batch of all that waits.
+   * Drops the lines of the batch, except the rest of a partly written one, and
+   * makes a batch of all buffered lines.
    */
-  #giveBatchUp(): void {
+  #dropBatch(): void {
     const batch = this.#batch;
     if (batch === undefined || this.#writing) return;
     const rest = batch.bytes.subarray(batch.offset);
-    const keptBytes = isWithinLine(batch) ? rest.indexOf(LINE_END) + 1 : 0;
-    const given = rest.subarray(keptBytes);
-    if (given.length > 0) {
-      const lines = given.filter((byte) => byte === LINE_END).length;
-      this.#lose({ reason: "write_failed", lines, bytes: given.length });
+    const retainedBytes = isMidLine(batch) ? rest.indexOf(NEWLINE_BYTE) + 1 : 0;
+    const dropped = rest.subarray(retainedBytes);
+    if (dropped.length > 0) {
+      const lines = dropped.filter((byte) => byte === NEWLINE_BYTE).length;
+      this.#reportLoss({
+        reason: "write_failed",
+        lines,
+        bytes: dropped.length,
+      });
     }
-    // A line that tells of the loss comes after the one that is pushed now.
-    const waiting = Buffer.from(this.#takeWaitingLines());
+    // The line that reports the loss follows the one that is pushed now.
+    const buffered = Buffer.from(this.#takeBufferedLines());
     this.#batch = {
-      bytes: Buffer.concat([rest.subarray(0, keptBytes), waiting]),
+      bytes: Buffer.concat([rest.subarray(0, retainedBytes), buffered]),
       offset: 0,
-      beginsWithin: keptBytes > 0,
+      startsMidLine: retainedBytes > 0,
     };
   }
 }
 
-function isWithinLine({ bytes, offset, beginsWithin }: Batch): boolean {
-  return offset === 0 ? beginsWithin : bytes[offset - 1] !== LINE_END;
+function isMidLine({
+  bytes,
+  offset,
+  startsMidLine: beginsWithin,
+}: Batch): boolean {
+  return offset === 0 ? beginsWithin : bytes[offset - 1] !== NEWLINE_BYTE;
 }
--- a/packages/rampswitch-serving/src/observation/bounded_output_test.ts
+++ b/packages/rampswitch-serving/src/observation/bounded_output_test.ts
@@ -5,23 +5,23 @@
 import { ManualClock } from "rampswitch-utils";
 import { Result } from "true-myth";
 import { BoundedOutput, type LineLoss } from "./bounded_output.ts";
-import type { LineSink, Written } from "./line_sink.ts";
+import type { LineSink, WriteResult } from "./line_sink.ts";
 
-/** Longer than any wait before a further write, in milliseconds. */
-const LONG_MILLISECONDS = 1_000;
+/** Longer than any wait between two writes, in milliseconds. */
+const LONGER_THAN_ANY_WAIT_MILLISECONDS = 1_000;
 
-/** What a sink does with a write: bytes that it takes at most, or an error. */
-type Answer = number | "EAGAIN" | "EPIPE" | "later";
+/** How a sink answers a write: the maximum bytes that it takes, or an error. */
+type SinkAnswer = number | "EAGAIN" | "EPIPE" | "later";
 
-function failure(code: string): Written {
+function failure(code: string): WriteResult {
   return Result.err(Object.assign(new Error(code), { code }));
 }
 
-/** A sink that answers as it is told, and an output that writes to it. */
-function observed() {
+/** A sink whose answers a test sets, and an output that writes to it. */
+function createOutput() {
   const clock = new ManualClock();
   const state = {
-    answer: Infinity as Answer,
+    answer: Infinity as SinkAnswer,
     text: "",
     writes: [] as string[],
     losses: [] as LineLoss[],
@@ -29,8 +29,8 @@
     notices: [] as string[],
     finish: (): void => undefined,
   };
-  const take = (bytes: Buffer, most: number): Written => {
-    const taken = bytes.subarray(0, most);
+  const take = (bytes: Buffer, maximumBytes: number): WriteResult => {
+    const taken = bytes.subarray(0, maximumBytes);
     state.text += taken.toString("utf8");
     return Result.ok(taken.length);
   };
@@ -62,7 +62,7 @@
   return { clock, state, output };
 }
 
-/** Lines lost so far. */
+/** Number of lost lines. */
 function lostIn(losses: readonly LineLoss[]): number {
   return losses.reduce((sum, { lines }) => sum + lines, 0);
 }
@@ -70,16 +70,16 @@
 const LARGE = `${"x".repeat(100 * 1024)}\n`;
 
 describe("bounded output", () => {
-  test("writes a line at once, after a line's end that parts it from a former life", () => {
-    const { state, output } = observed();
+  test("writes a line at once, after a newline that separates it from a former incarnation", () => {
+    const { state, output } = createOutput();
     output.push("a\n");
     expect(state.text).toBe("\na\n");
     output.push("b\n");
     expect(state.writes).toEqual(["\na\n", "b\n"]);
   });
 
-  test("collects the lines that come while a write is under way, in order", () => {
-    const { state, output } = observed();
+  test("collects the lines that arrive during a write, in order", () => {
+    const { state, output } = createOutput();
     state.answer = "later";
     ["a\n", "b\n", "c\n"].forEach((line) => output.push(line));
     expect(state.writes).toEqual(["\na\n"]);
@@ -89,19 +89,19 @@
     expect(state.losses).toEqual([]);
   });
 
-  test("writes the rest of what was taken in part, then what came since", () => {
-    const { clock, state, output } = observed();
+  test("writes the rest of a partly taken line, then later lines", () => {
+    const { clock, state, output } = createOutput();
     state.answer = 3;
     output.push("first\n");
     state.answer = "EAGAIN";
     output.push("later\n");
     state.answer = Infinity;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     expect(state.text).toBe("\nfirst\nlater\n");
   });
 
-  test("drops and tells lines beyond its bound while a write is stuck", () => {
-    const { state, output } = observed();
+  test("drops and reports lines beyond its bound while a write is stuck", () => {
+    const { state, output } = createOutput();
     state.answer = "later";
     output.push("stuck\n");
     Array.from({ length: 4 }).forEach(() => output.push(LARGE));
@@ -109,8 +109,8 @@
     expect(state.losses).toEqual([loss, loss]);
   });
 
-  test("keeps room for ordinary lines from a flood of expendable ones", () => {
-    const { clock, state, output } = observed();
+  test("reserves space for ordinary lines in a flood of expendable ones", () => {
+    const { clock, state, output } = createOutput();
     state.answer = "EAGAIN";
     output.push("first\n");
     Array.from({ length: 50_000 }).forEach(() =>
@@ -118,7 +118,7 @@
     );
     Array.from({ length: 1_000 }).forEach(() => output.push("ended\n"));
     state.answer = Infinity;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     const lines = state.text.split("\n");
     expect(lines.filter((line) => line === "ended")).toHaveLength(1_000);
     expect(lostIn(state.losses)).toBe(
@@ -126,45 +126,45 @@
     );
   });
 
-  test("tells of losses as soon as there is room, after the lines before them", () => {
-    const { clock, state, output } = observed();
+  test("reports losses as soon as there is space, after the lines before them", () => {
+    const { clock, state, output } = createOutput();
     state.answer = "EAGAIN";
     output.push("first\n");
     Array.from({ length: 3 }).forEach(() => output.push(LARGE));
     state.notices.push("one is lost\n");
     state.answer = Infinity;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     expect(state.text).toBe(`\nfirst\n${LARGE}${LARGE}one is lost\n`);
   });
 
-  test("keeps lines whose write failed until their reader is back", () => {
-    const { clock, state, output } = observed();
+  test("retains lines whose write failed until their reader is back", () => {
+    const { clock, state, output } = createOutput();
     state.answer = "EPIPE";
     output.push("first\n");
     output.push("second\n");
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     expect(state.failures).toEqual(["EPIPE", "EPIPE"]);
     state.answer = Infinity;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     expect(state.text).toBe("\nfirst\nsecond\n");
     expect(state.losses).toEqual([]);
   });
 
-  test("gives the oldest lines up when writes go on failing, and no half of one", () => {
-    const { clock, state, output } = observed();
-    // The first write takes a part of the line; what follows fails.
+  test("drops the oldest lines when writes continue to fail, but no part of a line", () => {
+    const { clock, state, output } = createOutput();
+    // The first write takes a part of the line; the following writes fail.
     state.answer = "EAGAIN";
     output.push("half of it\n");
     output.push("given up\n");
     state.answer = 4;
     clock.advance(20);
     state.answer = "EPIPE";
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     [LARGE, LARGE, LARGE, LARGE, LARGE, "newest\n"].forEach((line) =>
       output.push(line),
     );
     state.answer = Infinity;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     const lines = state.text.split("\n");
     expect(lines.slice(0, 2)).toEqual(["", "half of it"]);
     expect(lines.at(-2)).toBe("newest");
@@ -172,9 +172,9 @@
   });
 
   test.each(["EAGAIN", "EPIPE"] as const)(
-    "holds no more than its room twice while no write succeeds: %s",
+    "buffers at most twice its bound while no write succeeds: %s",
     (answer) => {
-      const { clock, state, output } = observed();
+      const { clock, state, output } = createOutput();
       state.answer = answer;
       const line = `${"x".repeat(1_000)}\n`;
       Array.from({ length: 5_000 }).forEach((_, index) => {
@@ -182,38 +182,38 @@
         clock.advance(1);
       });
       state.answer = Infinity;
-      clock.advance(LONG_MILLISECONDS);
+      clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
       expect(state.text.length).toBeLessThanOrEqual(2 * 256 * 1024);
       expect(state.text.length).toBeGreaterThan(128 * 1024);
     },
   );
 
-  test("writes what is left before it returns, at the end of the process", () => {
-    const { state, output } = observed();
+  test("writes the remaining lines synchronously at the end of the process", () => {
+    const { state, output } = createOutput();
     state.answer = "EAGAIN";
     output.push("first\n");
     output.push("last\n");
     state.answer = Infinity;
-    output.writeAtOnce();
+    output.writeSync();
     expect(state.text).toBe("\nfirst\nlast\n");
   });
 
-  test("writes no line at the end behind a part of another one", () => {
-    const { state, output } = observed();
+  test("writes no line after a part of another one at the end of the process", () => {
+    const { state, output } = createOutput();
     state.answer = 3;
     output.push("first\n");
     state.answer = "EAGAIN";
     output.push("last\n");
     // The reader takes part of each write.
     state.answer = 2;
-    output.writeAtOnce();
+    output.writeSync();
     expect("\nfirst\nlast\n".startsWith(state.text)).toBe(true);
   });
 
-  test("whatever the reader does, lines are whole, in order, and all others are told", () => {
+  test("whatever the reader does, lines are whole and in order, and losses are reported", () => {
     const answers = fc.oneof(
       fc.integer({ min: 0, max: 60_000 }),
-      fc.constantFrom<Answer>("EAGAIN", "EPIPE", Infinity),
+      fc.constantFrom<SinkAnswer>("EAGAIN", "EPIPE", Infinity),
     );
     const steps = fc.record({
       answer: answers,
@@ -224,7 +224,7 @@
     });
     fc.assert(
       fc.property(fc.array(steps, { maxLength: 60 }), (plan) => {
-        const { clock, state, output } = observed();
+        const { clock, state, output } = createOutput();
         let pushed = 0;
         plan.forEach((step) => {
           state.answer = step.answer;
@@ -238,8 +238,8 @@
           clock.advance(step.wait);
         });
         state.answer = Infinity;
-        clock.advance(LONG_MILLISECONDS);
-        clock.advance(LONG_MILLISECONDS);
+        clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
+        clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
         const lines = state.text.split("\n").filter(Boolean);
         const numbers = lines.map((line) => Number(line.split(" ")[0]));
         expect(lines.filter((line) => !/^\d+ x+\.$/.test(line))).toEqual([]);
--- a/packages/rampswitch-serving/src/observation/line_log.ts
+++ b/packages/rampswitch-serving/src/observation/line_log.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The log of one life of a process: numbered lines of JSON, so that a reader
- * sees for certain whether some are missing, and lines that tell of losses.
+ * The log of one incarnation of a process: lines of JSON. They are numbered, so
+ * that a reader can tell whether some are missing, and losses are logged as well.
  *
  * @module
  */
@@ -16,25 +16,25 @@
 import type { LineSink } from "./line_sink.ts";
 import type { ServingMetrics } from "./metrics.ts";
 
-/** Lines that callers without any right can cause in any number. */
+/** Messages that unauthorized callers can cause in any number. */
 const EXPENDABLE_MESSAGES: ReadonlySet<string> = new Set([
   "request refused",
   "malformed request",
 ]);
 
-/** Losses of one reason that no line has told yet. */
-interface UntoldLoss {
+/** Losses for one reason that no line has reported yet. */
+interface UnreportedLoss {
   readonly lines: number;
   readonly bytes: number;
-  /** When the first was lost, as lines tell time. */
+  /** When the first line was lost, in the format of timestamps. */
   readonly since: string;
 }
 
-/** What a log is made of. */
+/** Dependencies of a log. */
 export interface LineLogParts {
   readonly sink: LineSink;
   readonly clock: Clock;
-  /** Milliseconds since the epoch, for the lines. */
+  /** Milliseconds since the epoch, for the timestamps. */
   readonly wallTime: () => number;
   readonly metrics: ServingMetrics;
   /** Fields of each line. */
@@ -45,17 +45,17 @@
 export class LineLog implements Logger {
   readonly #parts: LineLogParts;
   readonly #output: BoundedOutput;
-  readonly #untold = new Map<LossReason, UntoldLoss>();
-  /** Number of the newest line, from 1 in each life of the process. */
-  #line = 0;
-  #lost = 0;
+  readonly #unreported = new Map<LossReason, UnreportedLoss>();
+  /** Number of the newest line, from 1 in each incarnation of the process. */
+  #lineNumber = 0;
+  #lostLines = 0;
 
   constructor(parts: LineLogParts) {
     this.#parts = parts;
     this.#output = new BoundedOutput(parts.sink, {
       clock: parts.clock,
       observer: {
-        lost: (loss) => this.#noteLoss(loss),
+        lost: (loss) => this.#recordLoss(loss),
         failed: (code) => parts.metrics.logWriteFailed(code),
         takeNotices: () => this.#takeNotices(),
       },
@@ -74,36 +74,36 @@
     this.#write("info", message, fields);
   }
 
-  /** Writes nothing: a host has no room for lines of this level. */
+  /** Writes nothing: a host has no capacity for lines of this level. */
   debug(): void {
-    // Meant to be empty.
+    // Intentionally empty.
   }
 
   /** Waits, up to some milliseconds, until all lines are written. */
   emptied(milliseconds: number): Promise<void> {
-    return this.#output.emptied(milliseconds);
+    return this.#output.drained(milliseconds);
   }
 
-  /** Writes what is left as far as that goes at once; for the process's end. */
+  /** Writes the remaining lines synchronously, for the end of the process. */
   writeAtOnce(): void {
-    this.#output.writeAtOnce();
+    this.#output.writeSync();
   }
 
   #write(level: LogLevel, message: string, fields?: LogFields): void {
     const importance: LineImportance = EXPENDABLE_MESSAGES.has(message)
       ? "expendable"
       : "ordinary";
-    this.#output.push(this.#lineOf(level, message, fields), importance);
+    this.#output.push(this.#formatLine(level, message, fields), importance);
   }
 
-  #lineOf(level: LogLevel, message: string, fields?: LogFields): string {
-    this.#line += 1;
+  #formatLine(level: LogLevel, message: string, fields?: LogFields): string {
+    this.#lineNumber += 1;
     const line = {
       level,
       message,
       timestamp: this.#timestamp(),
       ...this.#parts.fields,
-      line: this.#line,
+      line: this.#lineNumber,
       ...fields,
     };
     return `${JSON.stringify(line)}\n`;
@@ -113,11 +113,11 @@
     return new Date(this.#parts.wallTime()).toISOString();
   }
 
-  #noteLoss({ reason, lines, bytes }: LineLoss): void {
+  #recordLoss({ reason, lines, bytes }: LineLoss): void {
     this.#parts.metrics.logLinesLost(reason, { lines, bytes });
-    this.#lost += lines;
-    const former = this.#untold.get(reason);
-    this.#untold.set(reason, {
+    this.#lostLines += lines;
+    const former = this.#unreported.get(reason);
+    this.#unreported.set(reason, {
       lines: (former?.lines ?? 0) + lines,
       bytes: (former?.bytes ?? 0) + bytes,
       since: former?.since ?? this.#timestamp(),
@@ -125,14 +125,14 @@
   }
 
   #takeNotices(): readonly string[] {
-    const notices = [...this.#untold].map(([reason, loss]) =>
-      this.#lineOf("warn", "log lines dropped", {
+    const notices = [...this.#unreported].map(([reason, loss]) =>
+      this.#formatLine("warn", "log lines dropped", {
         reason,
         ...loss,
-        total: this.#lost,
+        total: this.#lostLines,
       }),
     );
-    this.#untold.clear();
+    this.#unreported.clear();
     return notices;
   }
 }
--- a/packages/rampswitch-serving/src/observation/line_log_test.ts
+++ b/packages/rampswitch-serving/src/observation/line_log_test.ts
@@ -9,10 +9,10 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Longer than any wait before a further write, in milliseconds. */
-const LONG_MILLISECONDS = 1_000;
+/** Longer than any wait between two writes, in milliseconds. */
+const LONGER_THAN_ANY_WAIT_MILLISECONDS = 1_000;
 
-function observed() {
+function createLog() {
   const clock = new ManualClock();
   const metrics = new ServingMetrics();
   const reader = { reads: true, code: "EAGAIN", text: "" };
@@ -52,8 +52,8 @@
 }
 
 describe("log of a process", () => {
-  test("numbers its lines, and leaves out fields without a value", () => {
-    const { log, lines } = observed();
+  test("numbers its lines, and omits fields without a value", () => {
+    const { log, lines } = createLog();
     log.info("one", { server: "s1", workspace: undefined });
     log.warn("two");
     log.debug();
@@ -76,8 +76,8 @@
     ]);
   });
 
-  test("tells how many lines were lost, since when and why, in a line and in counters", async () => {
-    const { clock, reader, log, lines, counters } = observed();
+  test("reports how many lines were lost, since when and why, in a line and in counters", async () => {
+    const { clock, reader, log, lines, counters } = createLog();
     reader.reads = false;
     clock.advance(5);
     const path = "x".repeat(1_000);
@@ -86,10 +86,11 @@
     );
     log.info("request ended", { request: "r1" });
     reader.reads = true;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     const [ended, notice] = lines().slice(-2);
     expect(ended).toMatchObject({ request: "r1", line: 1_001 });
-    const lost = 1_000 - lines().filter(({ path: told }) => told).length;
+    const lost =
+      1_000 - lines().filter(({ path: loggedPath }) => loggedPath).length;
     expect(lost).toBeGreaterThan(0);
     expect(notice).toMatchObject({
       level: "warn",
@@ -106,15 +107,15 @@
     ]);
   });
 
-  test("tells of a loss once", () => {
-    const { clock, reader, log, lines } = observed();
+  test("reports a loss once", () => {
+    const { clock, reader, log, lines } = createLog();
     reader.reads = false;
     const path = "x".repeat(100_000);
     [1, 2, 3].forEach(() => log.info("request refused", { path }));
     reader.reads = true;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     log.info("later");
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     expect(lines().map(({ message }) => message)).toEqual([
       "request refused",
       "request refused",
@@ -124,7 +125,7 @@
   });
 
   test("numbers its lines in the order in which they are written, also after failed writes", () => {
-    const { clock, reader, log, lines } = observed();
+    const { clock, reader, log, lines } = createLog();
     reader.reads = false;
     reader.code = "EPIPE";
     Array.from({ length: 3_000 }).forEach((_, index) => {
@@ -132,10 +133,10 @@
         request: `r${index}`,
         path: "x".repeat(200),
       });
-      if (index % 100 === 0) clock.advance(LONG_MILLISECONDS);
+      if (index % 100 === 0) clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     });
     reader.reads = true;
-    clock.advance(LONG_MILLISECONDS);
+    clock.advance(LONGER_THAN_ANY_WAIT_MILLISECONDS);
     log.info("later");
     const numbers = lines().map(({ line }) => Number(line));
     expect(numbers).toEqual(numbers.toSorted((left, right) => left - right));
@@ -144,8 +145,8 @@
     expect(Number(lost?.lines)).toBe(Math.max(...numbers) - numbers.length);
   });
 
-  test("tells of losses at the end of the process", () => {
-    const { reader, log, lines } = observed();
+  test("reports losses at the end of the process", () => {
+    const { reader, log, lines } = createLog();
     reader.reads = false;
     const path = "x".repeat(100_000);
     [1, 2, 3].forEach(() => log.info("request refused", { path }));
--- a/packages/rampswitch-serving/src/observation/line_sink.ts
+++ b/packages/rampswitch-serving/src/observation/line_sink.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Where log lines are written: standard output, in a way in which neither the
- * event loop nor the end of the process waits for its reader.
+ * Writes log lines to standard output so that neither the event loop nor the end
+ * of the process waits for the reader.
  *
  * @module
  */
@@ -10,31 +10,31 @@
 import { Socket } from "node:net";
 import { Result } from "true-myth";
 
-/** How many bytes were taken, or why none were. */
-export type Written = Result<number, NodeJS.ErrnoException>;
+/** Number of bytes that were taken, or why none were. */
+export type WriteResult = Result<number, NodeJS.ErrnoException>;
 
-/** Takes bytes; takes part of them, or none, where its reader is behind. */
+/** Takes bytes; takes only a part of them, or none, while its reader is behind. */
 export interface LineSink {
   /** Writes without blocking; may call back before it returns. */
-  write(bytes: Buffer, done: (written: Written) => void): void;
-  /** Writes before it returns; for the end of the process. */
-  writeAtOnce(bytes: Buffer): Written;
+  write(bytes: Buffer, done: (written: WriteResult) => void): void;
+  /** Writes synchronously, for the end of the process. */
+  writeAtOnce(bytes: Buffer): WriteResult;
 }
 
-/** What standard output is. */
+/** Kind of file that standard output is. */
 type OutputKind = "pipe" | "socket" | "other";
 
 const STANDARD_OUTPUT = 1;
 
-/** Standard output of this process; where it is a pipe, it can be opened anew. */
+/** Standard output of this process, which can be reopened if it is a pipe. */
 const OWN_OUTPUT_PATH = "/proc/self/fd/1";
 
 const OPENERS: Readonly<Record<OutputKind, () => LineSink>> = {
-  // Opened anew, it is this process's own: what does not block here blocks as
-  // before for others that write to the pipe, and none can make this one block.
-  pipe: () => immediateSink(openedAnew().unwrapOrElse(unblocked)),
-  socket: () => immediateSink(unblocked()),
-  other: poolSink,
+  // A reopened pipe has flags of its own: other processes that write to the pipe
+  // block as before, and none of them can make this one block.
+  pipe: () => nonBlockingSink(reopenOutput().unwrapOrElse(makeNonBlocking)),
+  socket: () => nonBlockingSink(makeNonBlocking()),
+  other: threadPoolSink,
 };
 
 /** Opens standard output for lines. */
@@ -48,7 +48,7 @@
   return stats.isSocket() ? "socket" : "other";
 }
 
-function openedAnew(): Result<number, unknown> {
+function reopenOutput(): Result<number, unknown> {
   try {
     const flags = constants.O_WRONLY | constants.O_NONBLOCK;
     return Result.ok(openSync(OWN_OUTPUT_PATH, flags));
@@ -57,37 +57,37 @@
   }
 }
 
-/** Standard output as it was opened, made not to block. */
-function unblocked(): number {
-  // Node does this to each pipe and socket that it takes over.
+/** Makes standard output non-blocking without reopening it. */
+function makeNonBlocking(): number {
+  // Node makes each pipe and socket that it wraps non-blocking.
   new Socket({ fd: STANDARD_OUTPUT, readable: false });
   return STANDARD_OUTPUT;
 }
 
-/** Writes to a descriptor that does not block. */
-function immediateSink(file: number): LineSink {
+/** Writes to a non-blocking descriptor. */
+function nonBlockingSink(file: number): LineSink {
   return {
-    write: (bytes, done) => done(writtenAtOnce(file, bytes)),
-    writeAtOnce: (bytes) => writtenAtOnce(file, bytes),
+    write: (bytes, done) => done(writeSynchronously(file, bytes)),
+    writeAtOnce: (bytes) => writeSynchronously(file, bytes),
   };
 }
 
 /**
- * Writes by a thread, for files, which may block for a while. Such a write costs 76
- * microseconds of processor time where lines are rare, one at once 29 (lines of 340
- * bytes, one in 2 ms).
+ * Writes on a thread of the pool, because writes to files may block for a while.
+ * Such a write takes 76 microseconds of processor time where lines are rare, and a
+ * synchronous one 29 (lines of 340 bytes, one every 2 ms).
  */
-function poolSink(): LineSink {
+function threadPoolSink(): LineSink {
   return {
     write: (bytes, done) =>
       write(STANDARD_OUTPUT, bytes, (error, count) =>
         done(error === null ? Result.ok(count) : Result.err(error)),
       ),
-    writeAtOnce: (bytes) => writtenAtOnce(STANDARD_OUTPUT, bytes),
+    writeAtOnce: (bytes) => writeSynchronously(STANDARD_OUTPUT, bytes),
   };
 }
 
-function writtenAtOnce(file: number, bytes: Buffer): Written {
+function writeSynchronously(file: number, bytes: Buffer): WriteResult {
   try {
     return Result.ok(writeSync(file, bytes));
   } catch (error) {
--- a/packages/rampswitch-serving/src/observation/metrics.ts
+++ b/packages/rampswitch-serving/src/observation/metrics.ts
@@ -9,10 +9,12 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import { listen, type Listening } from "rampswitch-utils";
 
-/** Bounds of the latency histograms, in seconds; around the usual targets. */
-const LATENCY_BOUNDS = [0.01, 0.03, 0.06, 0.1, 0.2, 0.4, 0.6, 1, 2, 4, 8, 15];
+/** Buckets of the latency histograms, around the usual targets. */
+const LATENCY_BUCKETS_SECONDS = [
+  0.01, 0.03, 0.06, 0.1, 0.2, 0.4, 0.6, 1, 2, 4, 8, 15,
+];
 
-/** Metrics of one host. */
+/** The metrics of one host. */
 export class ServingMetrics {
   readonly #registry = new Registry();
   readonly #outcomes = this.#counter("requests_total", "Requests by outcome", [
@@ -28,12 +30,12 @@
     ["why"],
   );
   readonly #events = this.#counter("events_total", "Events by name", ["event"]);
-  readonly #lostLines = this.#counter(
+  readonly #droppedLines = this.#counter(
     "log_lines_dropped_total",
     "Log lines that were never written",
     ["reason"],
   );
-  readonly #lostBytes = this.#counter(
+  readonly #droppedBytes = this.#counter(
     "log_bytes_dropped_total",
     "Bytes of log lines that were never written",
     ["reason"],
@@ -49,7 +51,7 @@
     "first_part_seconds",
     "Time from a request to the first part of its answer",
   );
-  readonly #whole = this.#histogram(
+  readonly #answer = this.#histogram(
     "answer_seconds",
     "Time from a request to the end of its answer",
   );
@@ -59,17 +61,17 @@
     this.#outcomes.inc({ outcome });
   }
 
-  /** Counts a repeated send. */
+  /** Counts a resend. */
   resend(service: string, reason: string): void {
     this.#resends.inc({ service, reason });
   }
 
-  /** Counts a further send that was wanted and not made. */
+  /** Counts a resend that was wanted but not made. */
   notRepeated(why: string): void {
     this.#notRepeated.inc({ why });
   }
 
-  /** Counts something that happened. */
+  /** Counts an event. */
   event(event: string): void {
     this.#events.inc({ event });
   }
@@ -79,11 +81,11 @@
     reason: string,
     lost: { readonly lines: number; readonly bytes: number },
   ): void {
-    this.#lostLines.inc({ reason }, lost.lines);
-    this.#lostBytes.inc({ reason }, lost.bytes);
+    this.#droppedLines.inc({ reason }, lost.lines);
+    this.#droppedBytes.inc({ reason }, lost.bytes);
   }
 
-  /** Counts a write of log lines that failed. */
+  /** Counts a failed write of log lines. */
   logWriteFailed(code: string): void {
     this.#failedWrites.inc({ code });
   }
@@ -101,7 +103,7 @@
     gauge.set(value);
   }
 
-  /** Sets a gauge for each of some servers; others are taken out of it. */
+  /** Sets a gauge by server; servers without a value are removed from it. */
   byServer(name: string, values: ReadonlyMap<string, number>): void {
     const gauge =
       this.#serverGauges.get(name) ??
@@ -123,15 +125,15 @@
 
   /** Records the time to the end of an answer. */
   whole(milliseconds: number): void {
-    this.#whole.observe(milliseconds / 1_000);
+    this.#answer.observe(milliseconds / 1_000);
   }
 
-  /** Everything as text. */
+  /** All metrics in the text format of Prometheus. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
 
-  /** Serves the text on an address. */
+  /** Serves the text on an address and path. */
   serve(address: string, path: string): Promise<Listening> {
     const server = createServer((request, response) => {
       if (request.url !== path) {
@@ -162,7 +164,7 @@
     return new Histogram({
       name: `rampswitch_${name}`,
       help,
-      buckets: LATENCY_BOUNDS,
+      buckets: LATENCY_BUCKETS_SECONDS,
       registers: [this.#registry],
     });
   }
--- a/packages/rampswitch-serving/src/observation/mod.ts
+++ b/packages/rampswitch-serving/src/observation/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Logs and metrics.
+ * The host's logs and metrics.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/observation/winston_logger.ts
+++ b/packages/rampswitch-serving/src/observation/winston_logger.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The logger that a process hands around: winston before the numbered lines.
+ * The logger that a process's parts use: winston, which writes to the line log.
  *
  * @module
  */
@@ -9,23 +9,23 @@
 import winston from "winston";
 import type { LogFields, Logger, LogLevel } from "rampswitch-utils";
 
-/** A line as winston passes it on. */
+/** An entry as winston writes it to the stream. */
 interface Entry extends LogFields {
   readonly level: LogLevel;
   readonly message: string;
 }
 
-/** Creates a logger whose lines have reached the log when a call returns. */
+/** Creates a logger whose lines reach the log before a call returns. */
 export function winstonLogger(log: Logger): Logger {
   return winston.createLogger({
     level: "info",
-    // The log makes the lines; it has to number them as they are written.
+    // The log formats the lines, because it numbers them as it writes them.
     format: winston.format((entry) => entry)(),
-    transports: [new winston.transports.Stream({ stream: entriesTo(log) })],
+    transports: [new winston.transports.Stream({ stream: entryStream(log) })],
   });
 }
 
-function entriesTo(log: Logger): Writable {
+function entryStream(log: Logger): Writable {
   return new Writable({
     objectMode: true,
     write: ({ level, message, ...fields }: Entry, _encoding, done) => {
--- a/packages/rampswitch-serving/src/observation/winston_logger_test.ts
+++ b/packages/rampswitch-serving/src/observation/winston_logger_test.ts
@@ -5,8 +5,8 @@
 import { winstonLogger } from "./winston_logger.ts";
 
 describe("the logger of a process", () => {
-  // A host that is killed in the turn of an answer must have written its line.
-  test("has passed a line on when the call returns, in whichever turn", async () => {
+  // A host that is killed in the event-loop turn of an answer must have written its line.
+  test("has written a line when the call returns, in any turn of the event loop", async () => {
     const seen: string[] = [];
     const logger = winstonLogger({
       ...SILENT_LOGGER,
@@ -20,14 +20,14 @@
     expect(seen).toEqual(["line 1", "line 2"]);
   });
 
-  test("keeps level and fields", () => {
+  test("preserves level and fields", () => {
     const seen: unknown[] = [];
     const logger = winstonLogger({
       ...SILENT_LOGGER,
       warn: (message, fields) => seen.push([message, fields]),
     });
     logger.warn("store does not answer", { age: 3 });
-    // As a line holds them: without winston's own marks.
+    // As JSON, which omits winston's symbol keys.
     expect(JSON.parse(JSON.stringify(seen))).toEqual([
       ["store does not answer", { age: 3 }],
     ]);
