--- a/packages/rampswitch-serving/src/configuration/configuration_follower.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower.ts
@@ -2,7 +2,7 @@
 
 /**
  * Follows the configuration and the list of backend servers in the platform's
- * store, and knows how long ago the store confirmed the configuration.
+ * store, and tracks how long ago the store confirmed the configuration.
  *
  * @module
  */
@@ -23,13 +23,13 @@
 } from "rampswitch-store";
 import { RouteIndex } from "../intake/route_index.ts";
 import { LapsedServers } from "./lapsed_servers.ts";
-import { RevivedServers } from "./revived_servers.ts";
+import { RestoredServers } from "./restored_servers.ts";
 import { UnreadableServers } from "./unreadable_servers.ts";
 import type { BackendServer } from "../model/backend_server.ts";
 import type { ServingConfiguration } from "../model/configuration.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
-/** Decodes what the store holds. */
+/** Keys and decoders of the objects in the store. */
 export interface StoredFormats {
   /** Prefix of the configuration's key. */
   readonly configurationPrefix: string;
@@ -39,151 +39,165 @@
   decodeServer(id: string, value: string): Result<BackendServer, string>;
 }
 
-/** How far a host has followed the store: versions of the newest changes. */
+/** Versions of the newest changes in the store that a host has received. */
 export interface FollowedVersions {
   readonly configuration: number;
   readonly servers: number;
 }
 
-/** What the follower tells its owner. */
+/** Receives the changes that the follower observes. */
 export interface FollowerListener {
+  /** Called with each newer configuration. */
   configured(routes: RouteIndex): void;
-  /** Takes in an entry; an error says why it can't be read after all. */
+  /** Applies a server's entry; an error states why the entry can't be read. */
   serverChanged(server: BackendServer): Result<unknown, string>;
-  /** An entry can't be read, and names no server to use until it is good. */
+  /** An entry can't be read; its server is not used until it is readable. */
   serverUnreadable(id: string): void;
+  /** A server's entry was removed and is not expected to reappear. */
   serverGone(id: string): void;
-  /** Whether an entry is of a life whose entry has gone. */
+  /** Whether an entry belongs to an incarnation whose entry was removed. */
   isGone(server: BackendServer): boolean;
 }
 
-/** Parts that the follower works with. */
+/** Dependencies of the follower. */
 export interface FollowerParts {
   readonly store: ObjectStore;
   readonly formats: StoredFormats;
-  /** A clock by which no confirmation is too young, also after a suspension. */
+  /**
+   * A clock that never underestimates the age of a confirmation, also after the
+   * machine was suspended.
+   */
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  /** Whether other hosts hear of the store by this one. */
+  /** Whether other hosts receive changes of the store through this one. */
   isRelay(): boolean;
   /**
-   * Whether this host hears of the others by relays alone, and no request has
-   * come to it since it started.
+   * Whether this host receives updates of other hosts only through relays, and
+   * has received no request since it started.
    */
   isIdleMember(): boolean;
 }
 
 /**
- * First and longest wait after a failed call, in milliseconds: the
- * configuration has to be in force within two seconds of the store's return.
+ * First and longest wait after a failed call, in milliseconds. The configuration
+ * must be in force within two seconds after the store is available again.
  */
-const FIRST_RETRY_MILLISECONDS = 60;
-const LONGEST_RETRY_MILLISECONDS = 700;
+const FIRST_RETRY_WAIT_MILLISECONDS = 60;
+const MAXIMUM_RETRY_WAIT_MILLISECONDS = 700;
 
 /**
- * Longest time that news of a peer may take, in milliseconds; links on which
- * messages wait longer count as out of order on the known platforms.
+ * Longest time that a peer's update may take to arrive, in milliseconds. A link
+ * that delays messages for longer counts as faulty on the known platforms.
  */
-const PEER_DELAY_MILLISECONDS = 500;
+const MAXIMUM_GOSSIP_DELAY_MILLISECONDS = 500;
 
 /**
- * Without a confirmation of its own for this long, a host has lost its way to
- * the store; in milliseconds, two waits of a watch and a repeat.
+ * Time without a confirmation of its own after which a host has lost its
+ * connection to the store, in milliseconds: two timeouts of a watch and a retry.
  */
-const OWN_WAY_LOST_MILLISECONDS = 3_000;
+const OWN_CONNECTION_LOST_MILLISECONDS = 3_000;
 
-/** Peers' confirmations younger than this show that the store is up, in ms. */
-const OTHERS_FRESH_MILLISECONDS = 2_000;
+/**
+ * Age below which a confirmation of a peer shows that the store is available,
+ * in milliseconds.
+ */
+const MAXIMUM_PEER_CONFIRMATION_AGE_MILLISECONDS = 2_000;
 
 /**
- * Longest wait of a watch, in seconds. Each return confirms the configuration
- * as of its sending, so the confirmation is never older than twice this; and a
- * watch that was cut in silence is noticed within the two seconds in which a
- * change has to be in force.
+ * Longest wait of a watch, in seconds. Each answer confirms the configuration as
+ * of the time when the watch was sent, so the confirmation is never older than
+ * twice this. A silently broken connection is also detected within the two
+ * seconds in which a change must be in force.
  */
-const WATCH_SECONDS = 1.2;
+const WATCH_TIMEOUT_SECONDS = 1.2;
 
 /**
- * The same for relays, in seconds. Others hear of leaving servers by them, so a
- * relay has to notice a way that was cut in silence, and to say so, well within
- * the two seconds in which leaving servers have to be left alone.
+ * Longest wait of a relay's watch, in seconds. Other hosts learn of leaving
+ * servers through relays. A relay must therefore detect a silently broken
+ * connection, and report it, well within the two seconds after which leaving
+ * servers must get no more requests.
  */
-const RELAY_WATCH_SECONDS = 0.8;
+const RELAY_WATCH_TIMEOUT_SECONDS = 0.8;
 
 /**
- * Longest wait of the watch of servers, in seconds. A lost way to the store is
- * noticed by the other watch or by others' news, so this is near the most the
- * platform allows.
+ * Longest wait of the watch of servers, in seconds. The watch of the
+ * configuration or updates of other hosts reveal a lost connection to the store,
+ * so this is close to the maximum that the platform allows.
  */
-const LONG_WATCH_SECONDS = 25;
+const SERVERS_WATCH_TIMEOUT_SECONDS = 25;
 
 /**
- * Time for a watch to bring a change that others told of, in milliseconds: a
- * few answers of the store.
+ * Time for a watch to return a change that other hosts reported, in
+ * milliseconds: enough for a few answers of the store.
  */
-const CATCH_UP_MILLISECONDS = 500;
+const CATCH_UP_GRACE_MILLISECONDS = 500;
 
 /**
- * Age of a host's own confirmation up to which its way to the store counts as
- * good, in milliseconds: two waits of its watch, and some for the answer.
+ * Age of a host's own confirmation up to which its connection to the store counts
+ * as working, in milliseconds: two timeouts of its watch, and time for the answer.
  */
-const OWN_WAY_FRESH_MILLISECONDS = 2_600;
+const MAXIMUM_OWN_CONFIRMATION_AGE_MILLISECONDS = 2_600;
 
 /**
- * Time in which another relay may still tell of the store, in milliseconds: two
- * digests.
+ * Time in which another relay may still report changes of servers, in
+ * milliseconds: two digests.
  */
-const OTHER_RELAY_MILLISECONDS = 900;
+const OTHER_RELAY_GRACE_MILLISECONDS = 900;
 
-/** Silence of the relays after which a host asks for itself, in milliseconds. */
-const RELAYS_SILENT_MILLISECONDS = 1_500;
+/**
+ * Silence of the relays after which a host queries the store itself, in
+ * milliseconds.
+ */
+const RELAY_SILENCE_MILLISECONDS = 1_500;
 
 /**
- * The same for the configuration, in milliseconds. A change has to be in force
- * within two seconds on the known platforms: 0.8 s until a relay notices that it
- * lost the store, a digest, this, and an answer of the store.
+ * Time without a relay's confirmation of the configuration after which a host
+ * queries the store itself, in milliseconds. A change must be in force within two
+ * seconds on the known platforms: 0.8 s until a relay detects that it lost the
+ * store, one digest, this time, and one answer of the store.
  */
-const CONFIGURATION_SILENT_MILLISECONDS = 600;
+const CONFIGURATION_SILENCE_MILLISECONDS = 600;
 
 /**
- * Time for a relay to pass a configuration on that it has and this host has not,
- * in milliseconds: two digests. Then this host asks the store.
+ * Time for a relay to forward a configuration that this host lacks, in
+ * milliseconds: two digests. After that, this host queries the store.
  */
-const PASSING_ON_MILLISECONDS = 900;
+const FORWARDING_GRACE_MILLISECONDS = 900;
 
 /**
- * Longest wait after a failed call of a host whose relays may tell of the
- * store's return, in milliseconds. All hosts of a large fleet that ask as often
- * as its relays do would make some 4,000 calls in an outage of seven seconds at
- * 195 hosts (two watches each, every 0.7 s).
+ * Longest wait after a failed call of a host whose relays can report that the
+ * store is available again, in milliseconds. If all hosts of a large fleet
+ * retried as often as its relays, 195 hosts would make some 4,000 calls in an
+ * outage of seven seconds (two watches each, every 0.7 s).
  */
-const LONGEST_RELAYED_RETRY_MILLISECONDS = 3_000;
+const MAXIMUM_RELAYED_RETRY_WAIT_MILLISECONDS = 3_000;
 
-/** Wait in which changes of servers are taken together, in milliseconds. */
+/** Time in which changes of servers are coalesced, in milliseconds. */
 const COALESCE_MILLISECONDS = 150;
 
 /**
- * The same in milliseconds for a host of a large fleet that no request has come
- * to and that is no relay. Servers register one by one while all hosts start,
- * and each host would ask after each change: at 77 hosts that was 364 of the
- * 1,200 calls to the store before the first request. Well below the time in
- * which a leaving server has to be left alone.
+ * Time in which changes of servers are coalesced on a host of a large fleet that
+ * has received no request and is no relay, in milliseconds. Servers register one
+ * by one while all hosts start, and each host would query the store after each
+ * change: with 77 hosts those were 364 of the 1,200 calls to the store before the
+ * first request. The value is well below the time after which a leaving server
+ * must get no more requests.
  */
 const IDLE_COALESCE_MILLISECONDS = 1_000;
 
 /**
- * Largest entry of a server that is read, in characters; the known platforms'
- * have some 250. Relays pass entries on in datagrams of at most 64 KiB, several at
- * once.
+ * Maximum length of a server's entry, in characters. Entries of the known
+ * platforms have some 250. Relays forward several entries in one datagram, which
+ * holds at most 64 KiB.
  */
-const LARGEST_ENTRY = 8 * 1_024;
+const MAXIMUM_ENTRY_CHARACTERS = 8 * 1_024;
 
-/** Passed on in place of an entry that is too large to be read. */
-const TOO_LARGE_ENTRY = "";
+/** Forwarded in place of an entry that is too large to be read. */
+const OVERSIZED_ENTRY_PLACEHOLDER = "";
 
-/** Follows configuration and backend servers. */
+/** Follows the configuration and the backend servers in the store. */
 export class ConfigurationFollower implements AsyncDisposable {
   readonly #parts: FollowerParts;
   readonly #listener: FollowerListener;
@@ -194,34 +208,36 @@
   #ownConfirmedAt = -Infinity;
   #serversListed = false;
   /** When a relay last confirmed this host's configuration. */
-  #relayedAt = -Infinity;
+  #relayConfirmedAt = -Infinity;
   #serversRelayedAt = -Infinity;
-  /** When a relay last told anything. */
-  #digestedAt = -Infinity;
-  /** When this host last began to ask the store itself. */
-  #asksSince = -Infinity;
-  /** When a relay that reaches the store last had what this host has. */
-  #levelAt = -Infinity;
-  /** Since when a relay has a configuration that this host has not. */
+  /** When this host last received a relay's digest. */
+  #digestReceivedAt = -Infinity;
+  /** When this host last began to query the store itself. */
+  #pollingSince = -Infinity;
+  /** When a relay that reaches the store last had this host's configuration. */
+  #inSyncAt = -Infinity;
+  /** Since when a relay has a configuration that this host lacks. */
   #behindSince: number | undefined;
   /** The configuration in force as it was stored. */
-  #stored: StoredObject | undefined;
+  #storedConfiguration: StoredObject | undefined;
   /** Version of the configuration that the store holds. */
   #storedVersion = -1;
-  /** When a watch that was behind was last asked anew. */
+  /** When each watch that was behind was last restarted. */
   readonly #interruptedAt = new Map<Watcher, number>();
-  #reachable = true;
-  readonly #lapsed: LapsedServers;
-  readonly #unreadable: UnreadableServers;
-  readonly #revived: RevivedServers;
+  #storeReachable = true;
+  readonly #lapsedServers: LapsedServers;
+  readonly #unreadableServers: UnreadableServers;
+  readonly #restoredServers: RestoredServers;
 
   constructor(parts: FollowerParts, listener: FollowerListener) {
     this.#parts = parts;
     this.#listener = listener;
-    this.#lapsed = new LapsedServers(parts, (id) => listener.serverGone(id));
-    this.#unreadable = new UnreadableServers(parts);
-    this.#revived = new RevivedServers(parts);
-    parts.store.onEra(() => this.#eraBegan());
+    this.#lapsedServers = new LapsedServers(parts, (id) =>
+      listener.serverGone(id),
+    );
+    this.#unreadableServers = new UnreadableServers(parts);
+    this.#restoredServers = new RestoredServers(parts);
+    parts.store.onEra(() => this.#eraStarted());
     this.#servers = this.#watch(
       parts.formats.serversPrefix,
       {
@@ -231,11 +247,11 @@
           this.#serversListed = true;
         },
         failed: () => undefined,
-        listedInEra: (list) => this.#listedInEra("servers", list),
+        listedInEra: (list) => this.#logEraList("servers", list),
       },
       {
-        seconds: () => LONG_WATCH_SECONDS,
-        pause: () => this.#serversPause(),
+        seconds: () => SERVERS_WATCH_TIMEOUT_SECONDS,
+        pause: () => this.#serversCoalesceMilliseconds(),
       },
     );
     this.#configuration = this.#watch(
@@ -243,15 +259,15 @@
       {
         changed: (object) => this.#configurationChanged(object),
         removed: () => undefined,
-        confirmed: (at) => this.#confirmed(at),
-        failed: () => this.#failed(),
-        listedInEra: (list) => this.#listedInEra("configuration", list),
+        confirmed: (at) => this.#watchConfirmed(at),
+        failed: () => this.#watchFailed(),
+        listedInEra: (list) => this.#logEraList("configuration", list),
       },
-      { seconds: () => this.#configurationWait() },
+      { seconds: () => this.#configurationWatchSeconds() },
     );
   }
 
-  /** How far this host has followed the store. */
+  /** Versions of the newest changes that this host has received. */
   get followed(): FollowedVersions {
     return {
       configuration: this.#configuration.newestChange,
@@ -260,10 +276,10 @@
   }
 
   /**
-   * Takes in how far another host has followed the store. A watch that is
-   * behind has lost its way without a sign, and is asked anew.
+   * Compares with the versions that another host has received. A watch that is
+   * behind has silently lost its connection, and is restarted.
    */
-  othersFollowed(versions: FollowedVersions): void {
+  receivePeerVersions(versions: FollowedVersions): void {
     this.#catchUp(this.#configuration, versions.configuration);
     this.#catchUp(this.#servers, versions.servers);
   }
@@ -272,55 +288,58 @@
     const now = this.#parts.clock.now();
     const waited = now - watcher.askedAt;
     const behind = newestChange > watcher.version && !watcher.suspended;
-    if (!behind || waited < CATCH_UP_MILLISECONDS) return;
+    if (!behind || waited < CATCH_UP_GRACE_MILLISECONDS) return;
     const interrupted = this.#interruptedAt.get(watcher) ?? -Infinity;
-    if (now - interrupted < OWN_WAY_LOST_MILLISECONDS) return;
+    if (now - interrupted < OWN_CONNECTION_LOST_MILLISECONDS) return;
     this.#interruptedAt.set(watcher, now);
     this.#parts.metrics.event("watch_behind");
     watcher.interrupt();
   }
 
-  #relaysConfirm(): boolean {
-    const silence = this.#parts.clock.now() - this.#relayedAt;
-    return silence < CONFIGURATION_SILENT_MILLISECONDS;
+  #confirmedByRelays(): boolean {
+    const silence = this.#parts.clock.now() - this.#relayConfirmedAt;
+    return silence < CONFIGURATION_SILENCE_MILLISECONDS;
   }
 
-  #serversPause(): number {
+  #serversCoalesceMilliseconds(): number {
     return this.#parts.isIdleMember()
       ? IDLE_COALESCE_MILLISECONDS
       : COALESCE_MILLISECONDS;
   }
 
-  #configurationWait(): number {
-    return this.#parts.isRelay() ? RELAY_WATCH_SECONDS : WATCH_SECONDS;
+  #configurationWatchSeconds(): number {
+    return this.#parts.isRelay()
+      ? RELAY_WATCH_TIMEOUT_SECONDS
+      : WATCH_TIMEOUT_SECONDS;
   }
 
-  #longestRetry(): number {
+  #maximumRetryWait(): number {
     const now = this.#parts.clock.now();
-    return now - this.#digestedAt < RELAYS_SILENT_MILLISECONDS
-      ? LONGEST_RELAYED_RETRY_MILLISECONDS
-      : LONGEST_RETRY_MILLISECONDS;
+    return now - this.#digestReceivedAt < RELAY_SILENCE_MILLISECONDS
+      ? MAXIMUM_RELAYED_RETRY_WAIT_MILLISECONDS
+      : MAXIMUM_RETRY_WAIT_MILLISECONDS;
   }
 
-  /** The newest configuration, to pass on; it is the only object of its kind. */
+  /** The newest configuration, to forward; it is the only object of its kind. */
   newestConfiguration(): ChangeBatch | undefined {
-    const stored = this.#stored;
+    const stored = this.#storedConfiguration;
     if (stored === undefined) return undefined;
     const { version, newestChange } = this.#configuration;
-    // What a copy lacks stays in force, and is passed on in the store's new era.
+    // A restored copy may lack this configuration. It stays in force, and is
+    // forwarded as part of the store's new era.
     const event = { ...stored, version: newestChange };
     return { after: 0, version, events: [event] };
   }
 
-  /** Lists all anew at once: what was watched is a history that is over. */
-  #eraBegan(): void {
-    this.#lapsed.storeReturned();
+  /** Lists everything again at once: the history that was watched has ended. */
+  #eraStarted(): void {
+    this.#lapsedServers.storeReturned();
     this.#configuration.interrupt();
     this.#servers.interrupt();
   }
 
-  /** What the store came back with, for the log. */
-  #listedInEra(list: string, { version, changed, missing }: EraList): void {
+  /** Logs the list that the store returned in its new era. */
+  #logEraList(list: string, { version, changed, missing }: EraList): void {
     this.#parts.metrics.event(`store_era_${list}_listed`);
     this.#parts.logger.warn("listed anew in an era of the store", {
       list,
@@ -332,68 +351,74 @@
   }
 
   /**
-   * Takes in how far a relay has followed the configuration; returns whether
-   * this host is behind and is to ask for the newest. While relays that reach the
-   * store confirm what it has, it asks the store nothing: a change of the
-   * configuration costs a call of each relay instead of one of each host. A relay
-   * without its own way hears of no change, so its hosts soon ask themselves; by
-   * its age alone they waited for 4.1 s.
+   * Compares with the newest change of the configuration that a relay has
+   * received; returns whether this host is behind and must request the newest
+   * one. While relays that reach the store confirm this host's configuration, it
+   * does not query the store: a change of the configuration costs one call of
+   * each relay instead of one of each host. A relay that has lost the store
+   * receives no change, so its hosts soon query the store themselves. When they
+   * relied on the age of its confirmation alone, they waited for 4.1 s.
    */
-  relayFollowed(newestChange: number, reachesStore: boolean): boolean {
+  receiveRelayVersion(newestChange: number, reachesStore: boolean): boolean {
     if (this.#configuration.version === 0) return false;
-    // A relay in a former era of the store confirms nothing.
+    // A relay in an earlier era of the store confirms nothing.
     const known = this.#configuration.newestChange;
     if (eraOf(newestChange) < eraOf(known)) return false;
     const now = this.#parts.clock.now();
-    this.#digestedAt = now;
+    this.#digestReceivedAt = now;
     if (newestChange > this.#configuration.newestChange) {
       this.#behindSince ??= now;
-      if (now - this.#behindSince >= PASSING_ON_MILLISECONDS) this.#askItself();
+      if (now - this.#behindSince >= FORWARDING_GRACE_MILLISECONDS)
+        this.#resumePolling();
       return true;
     }
     this.#behindSince = undefined;
     if (reachesStore) {
-      this.#levelAt = now;
-      if (this.#relaysConfirm()) this.#leaveToRelays();
-    } else if (now - this.#levelAt >= CONFIGURATION_SILENT_MILLISECONDS) {
-      this.#askItself();
+      this.#inSyncAt = now;
+      if (this.#confirmedByRelays()) this.#suspendPolling();
+    } else if (now - this.#inSyncAt >= CONFIGURATION_SILENCE_MILLISECONDS) {
+      this.#resumePolling();
     }
     return false;
   }
 
-  /** Takes in the configuration that a relay passed on. */
-  configurationByRelay(changes: ChangeBatch): void {
+  /** Applies the configuration that a relay forwarded. */
+  receiveConfiguration(changes: ChangeBatch): void {
     if (this.#configuration.take(changes)) this.#behindSince = undefined;
   }
 
-  #leaveToRelays(): void {
+  #suspendPolling(): void {
     if (this.#configuration.suspended) return;
     this.#configuration.suspend();
-    if (this.#reachable) return;
-    this.#reachable = true;
+    if (this.#storeReachable) return;
+    this.#storeReachable = true;
     this.#parts.logger.info("relays tell of the store", {});
   }
 
-  #askItself(): void {
+  #resumePolling(): void {
     if (!this.#configuration.suspended) return;
-    this.#asksSince = this.#parts.clock.now();
+    this.#pollingSince = this.#parts.clock.now();
     this.#configuration.resume();
   }
 
   /**
-   * The newest changes of servers, for hosts that hear of them by relays; none
-   * while this host has lost its own way to the store.
+   * The newest changes of servers, for hosts that receive them through relays;
+   * `undefined` while this host has lost its own connection to the store.
    */
   recentServers(): ChangeBatch | undefined {
     const age = this.#parts.clock.now() - this.#ownConfirmedAt;
-    if (!this.#reachable || age >= OWN_WAY_FRESH_MILLISECONDS) return undefined;
+    if (
+      !this.#storeReachable ||
+      age >= MAXIMUM_OWN_CONFIRMATION_AGE_MILLISECONDS
+    )
+      return undefined;
     const recent = this.#servers.recent();
-    return recent && { ...recent, events: recent.events.map(passedOn) };
+    return recent && { ...recent, events: recent.events.map(forwardable) };
   }
 
   /**
-   * Takes in changes of servers from a relay, instead of asking the store.
-   * Without changes the relay itself can't ask.
+   * Applies changes of servers from a relay instead of querying the store. An
+   * `undefined` batch means that the relay has lost the store.
    */
   serversByRelay(batch: ChangeBatch | undefined): void {
     if (!this.#serversListed) return;
@@ -401,39 +426,39 @@
     if (batch !== undefined && this.#servers.take(batch)) {
       this.#serversRelayedAt = now;
       this.#servers.suspend();
-    } else if (now - this.#serversRelayedAt >= OTHER_RELAY_MILLISECONDS) {
+    } else if (now - this.#serversRelayedAt >= OTHER_RELAY_GRACE_MILLISECONDS) {
       this.#servers.resume();
     }
   }
 
-  /** Asks for itself once the relays are silent, or once it is one itself. */
+  /** Queries the store once the relays are silent or this host is a relay. */
   checkRelays(): void {
     const silence = this.#parts.clock.now() - this.#serversRelayedAt;
     const isRelay = this.#parts.isRelay();
-    if (isRelay || silence >= RELAYS_SILENT_MILLISECONDS) {
+    if (isRelay || silence >= RELAY_SILENCE_MILLISECONDS) {
       this.#servers.resume();
     }
-    if (isRelay || !this.#relaysConfirm()) this.#askItself();
+    if (isRelay || !this.#confirmedByRelays()) this.#resumePolling();
   }
 
-  /** Takes in that a relay had a version confirmed some time ago. */
-  confirmedByRelay(version: number, ageMilliseconds: number): void {
-    const fresh = ageMilliseconds < OWN_WAY_FRESH_MILLISECONDS;
-    // A member asks the store nothing, and learns of an outage by this alone.
-    if (fresh) this.#lapsed.storeAnswers();
-    else this.#lapsed.storeLost();
-    // Before the first configuration both have none.
+  /** Records that the store confirmed a version to a relay some time ago. */
+  receiveRelayConfirmation(version: number, ageMilliseconds: number): void {
+    const fresh = ageMilliseconds < MAXIMUM_OWN_CONFIRMATION_AGE_MILLISECONDS;
+    // A member does not query the store, so only this reveals an outage to it.
+    if (fresh) this.#lapsedServers.storeAnswered();
+    else this.#lapsedServers.storeLost();
+    // Before the first configuration, neither host has one.
     const current = version === (this.#routes?.configuration.version ?? 0);
-    if (current && fresh) this.#relayedAt = this.#parts.clock.now();
-    this.confirmedByPeer(version, ageMilliseconds);
+    if (current && fresh) this.#relayConfirmedAt = this.#parts.clock.now();
+    this.receivePeerConfirmation(version, ageMilliseconds);
   }
 
-  /** The newest configuration known. */
+  /** The newest known configuration. */
   get routes(): RouteIndex | undefined {
     return this.#routes;
   }
 
-  /** Whether the list of servers was read once. */
+  /** Whether the list of servers was read at least once. */
   get serversListed(): boolean {
     return this.#serversListed;
   }
@@ -443,22 +468,24 @@
     return this.#parts.clock.now() - this.#confirmedAt;
   }
 
-  /** Whether this host lost its way to the store while others have theirs. */
+  /** Whether this host lost its connection to the store and its peers did not. */
   get cutOff(): boolean {
     const now = this.#parts.clock.now();
-    const since = Math.max(this.#ownConfirmedAt, this.#asksSince);
+    const since = Math.max(this.#ownConfirmedAt, this.#pollingSince);
     const lost =
-      !this.#configuration.suspended && now - since > OWN_WAY_LOST_MILLISECONDS;
-    return lost && this.age < OTHERS_FRESH_MILLISECONDS;
+      !this.#configuration.suspended &&
+      now - since > OWN_CONNECTION_LOST_MILLISECONDS;
+    return lost && this.age < MAXIMUM_PEER_CONFIRMATION_AGE_MILLISECONDS;
   }
 
   /**
-   * Takes in that a peer had a version confirmed some time ago. It counts for
-   * the same version only, and later by the time that the news may have taken.
+   * Records that the store confirmed a version to a peer some time ago. This
+   * counts only for the same version. The longest delay of gossip is added to the
+   * age, because the update may have taken that long.
    */
-  confirmedByPeer(version: number, ageMilliseconds: number): void {
+  receivePeerConfirmation(version: number, ageMilliseconds: number): void {
     if (version !== this.#routes?.configuration.version) return;
-    const age = ageMilliseconds + PEER_DELAY_MILLISECONDS;
+    const age = ageMilliseconds + MAXIMUM_GOSSIP_DELAY_MILLISECONDS;
     this.#confirmedAt = Math.max(
       this.#confirmedAt,
       this.#parts.clock.now() - age,
@@ -486,8 +513,8 @@
       ...options,
       backoff: (failures) =>
         storeBackoff(failures, random, {
-          first: FIRST_RETRY_MILLISECONDS,
-          longest: this.#longestRetry(),
+          first: FIRST_RETRY_WAIT_MILLISECONDS,
+          longest: this.#maximumRetryWait(),
         }),
     });
   }
@@ -505,7 +532,7 @@
     }
     this.#storedVersion = decoded.value.version;
     const known = this.#routes?.configuration.version ?? -1;
-    if (decoded.value.version >= known) this.#stored = object;
+    if (decoded.value.version >= known) this.#storedConfiguration = object;
     if (decoded.value.version <= known) return;
     this.#routes = new RouteIndex(decoded.value);
     metrics.event("configuration_applied");
@@ -519,66 +546,67 @@
 
   #serverChanged(object: StoredObject, origin: ObjectOrigin): void {
     const id = this.#serverId(object.key);
-    this.#lapsed.present(id);
+    this.#lapsedServers.entryPresent(id);
     const read = this.#readServer(id, object.value);
-    const isRevived =
+    const isRestored =
       origin === "copy" && read.isOk && this.#listener.isGone(read.value);
-    // What was gone is not there again because a copy says so.
-    if (isRevived) this.#revived.hold(id, () => this.#takeServer(id, read));
-    else this.#takeServer(id, read);
+    // An entry in a restored copy does not prove that a removed server is back.
+    if (isRestored)
+      this.#restoredServers.hold(id, () => this.#applyServer(id, read));
+    else this.#applyServer(id, read);
   }
 
-  #takeServer(id: string, read: Result<BackendServer, string>): void {
-    this.#revived.release(id);
+  #applyServer(id: string, read: Result<BackendServer, string>): void {
+    this.#restoredServers.release(id);
     const taken = read.andThen((server) =>
       this.#listener.serverChanged(server),
     );
-    if (taken.isOk) this.#unreadable.good(id);
+    if (taken.isOk) this.#unreadableServers.markReadable(id);
     else {
-      this.#unreadable.add(id, taken.error);
+      this.#unreadableServers.add(id, taken.error);
       this.#listener.serverUnreadable(id);
     }
   }
 
   #readServer(id: string, value: string): Result<BackendServer, string> {
-    if (value.length <= LARGEST_ENTRY) {
+    if (value.length <= MAXIMUM_ENTRY_CHARACTERS) {
       return this.#parts.formats.decodeServer(id, value);
     }
-    const expected = `expected at most ${LARGEST_ENTRY} characters`;
+    const expected = `expected at most ${MAXIMUM_ENTRY_CHARACTERS} characters`;
     return Result.err(`entry: ${expected}, not ${value.length}`);
   }
 
   #serverRemoved(id: string): void {
-    this.#unreadable.remove(id);
-    this.#revived.release(id);
-    this.#lapsed.removed(id);
+    this.#unreadableServers.remove(id);
+    this.#restoredServers.release(id);
+    this.#lapsedServers.entryRemoved(id);
   }
 
   #serverId(key: string): string {
     return key.slice(this.#parts.formats.serversPrefix.length);
   }
 
-  #confirmed(at: number): void {
-    // A store that holds less than what is in force confirms nothing of it.
+  #watchConfirmed(at: number): void {
+    // A store with an older configuration does not confirm the one in force.
     const inForce = this.#routes?.configuration.version ?? -1;
     if (this.#storedVersion >= inForce) {
       this.#confirmedAt = Math.max(this.#confirmedAt, at);
     }
     this.#ownConfirmedAt = Math.max(this.#ownConfirmedAt, at);
-    this.#lapsed.storeAnswers();
-    if (this.#reachable) return;
-    this.#reachable = true;
-    // Its call may be from the outage, and wait for an answer that never comes.
+    this.#lapsedServers.storeAnswered();
+    if (this.#storeReachable) return;
+    this.#storeReachable = true;
+    // Its call may have been sent during the outage and never get an answer.
     this.#servers.interrupt();
     this.#parts.logger.info("store answers again", {});
   }
 
-  #failed(): void {
-    // Both watches take the same way; this one notices first.
+  #watchFailed(): void {
+    // Both watches use the same connection, and this one detects failures first.
     this.#servers.interrupt();
-    this.#lapsed.storeLost();
-    if (!this.#reachable) return;
-    this.#reachable = false;
+    this.#lapsedServers.storeLost();
+    if (!this.#storeReachable) return;
+    this.#storeReachable = false;
     this.#parts.metrics.event("store_lost");
     this.#parts.logger.warn("store does not answer", {
       confirmedMillisecondsAgo: Math.round(this.age),
@@ -586,9 +614,10 @@
   }
 }
 
-/** A change as it is passed on: whoever hears it can't read a large one either. */
-function passedOn(event: StoreEvent): StoreEvent {
-  return event.value !== undefined && event.value.length > LARGEST_ENTRY
-    ? { ...event, value: TOO_LARGE_ENTRY }
+/** A change to forward, without an entry that is too large to be read anyway. */
+function forwardable(event: StoreEvent): StoreEvent {
+  return event.value !== undefined &&
+    event.value.length > MAXIMUM_ENTRY_CHARACTERS
+    ? { ...event, value: OVERSIZED_ENTRY_PLACEHOLDER }
     : event;
 }
--- a/packages/rampswitch-serving/src/configuration/configuration_follower_test.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower_test.ts
@@ -14,18 +14,18 @@
 import { ServingMetrics } from "../observation/mod.ts";
 import { ConfigurationFollower } from "./configuration_follower.ts";
 
-/** A call of a watch that waits. */
-interface Waiting {
+/** A call of a watch that has not been answered. */
+interface PendingWatch {
   readonly after: number;
   readonly seconds: number | undefined;
   answer(batch: Result<WatchBatch, StoreError>): void;
 }
 
-/** A store whose watches wait until a test answers them. */
-class WaitingStore implements ObjectStore {
+/** A store whose watches are pending until a test answers them. */
+class PendingStore implements ObjectStore {
   readonly era = ONE_ERA.era;
   readonly onEra = ONE_ERA.onEra;
-  readonly waiting = new Map<string, Waiting>();
+  readonly pendingWatches = new Map<string, PendingWatch>();
   readonly #lists: Readonly<Record<string, readonly string[]>>;
 
   constructor(
@@ -52,7 +52,7 @@
     options: WatchOptions,
   ): ReturnType<ObjectStore["watch"]> {
     return new Promise((resolve) => {
-      this.waiting.set(prefix, {
+      this.pendingWatches.set(prefix, {
         after,
         seconds: options.seconds,
         answer: resolve,
@@ -86,7 +86,7 @@
 };
 
 let follower: ConfigurationFollower | undefined;
-/** Servers that the follower passed on as gone. */
+/** Servers that the follower reported as gone. */
 let gone: string[] = [];
 
 afterEach(async () => {
@@ -96,7 +96,7 @@
 });
 
 async function follow(
-  store: WaitingStore,
+  store: PendingStore,
   clock: ManualClock,
   options: { readonly isRelay: boolean; readonly isIdle: boolean } = {
     isRelay: true,
@@ -144,7 +144,7 @@
   return follower;
 }
 
-/** Moves time and lets promises settle. */
+/** Advances the clock and lets promises settle. */
 async function advance(
   clock: ManualClock,
   milliseconds: number,
@@ -156,131 +156,134 @@
   await new Promise((resolve) => setImmediate(resolve));
 }
 
-describe("a watch that others are ahead of", () => {
-  test("is asked anew, from where it was, and not again and again", async () => {
-    const store = new WaitingStore();
+describe("a watch that is behind other hosts", () => {
+  test("is restarted once, from its last position", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock);
-    const first = store.waiting.get("servers/");
+    const first = store.pendingWatches.get("servers/");
     expect(first?.after).toBe(6);
     await advance(clock, 600);
-    started.othersFollowed({ configuration: 6, servers: 9 });
+    started.receivePeerVersions({ configuration: 6, servers: 9 });
     await advance(clock, 200);
-    const second = store.waiting.get("servers/");
+    const second = store.pendingWatches.get("servers/");
     expect(second).not.toBe(first);
     expect(second?.after).toBe(6);
     await advance(clock, 600);
-    started.othersFollowed({ configuration: 6, servers: 9 });
+    started.receivePeerVersions({ configuration: 6, servers: 9 });
     await advance(clock, 200);
-    expect(store.waiting.get("servers/")).toBe(second);
+    expect(store.pendingWatches.get("servers/")).toBe(second);
   });
 
-  test("is left alone while it is level with the others", async () => {
-    const store = new WaitingStore();
+  test("is not restarted while it has the same versions as the others", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock);
-    const first = store.waiting.get("servers/");
+    const first = store.pendingWatches.get("servers/");
     await advance(clock, 5_000);
-    started.othersFollowed(started.followed);
+    started.receivePeerVersions(started.followed);
     await advance(clock, 200);
-    expect(store.waiting.get("servers/")).toBe(first);
+    expect(store.pendingWatches.get("servers/")).toBe(first);
   });
 });
 
-// The store answered nothing for 3.3 seconds, without a sign. A watch of servers that
-// was asked in the last moments of that waits for an answer that never comes, up to
-// its 25 seconds, and servers that leave are not heard of meanwhile. The watch of the
-// configuration that failed last had it asked anew, and the next one was answered.
-describe("a watch of servers that was asked late in a silent outage", () => {
-  test("is asked anew once the store answers again", async () => {
-    const store = new WaitingStore();
+// Guards against a watch of servers that hangs after a silent outage of the store, seen
+// with one of 3.3 seconds. The last failed watch of the configuration restarts the watch
+// of servers while the store is still silent. That call is never answered and waits for
+// its 25 seconds, so leaving servers are not noticed, although the next watch of the
+// configuration is answered.
+describe("a watch of servers that was sent late in a silent outage", () => {
+  test("is restarted once the store answers again", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     await follow(store, clock);
     await advance(clock, 3_000);
-    const first = store.waiting.get("servers/");
-    store.waiting
+    const first = store.pendingWatches.get("servers/");
+    store.pendingWatches
       .get("config/")
       ?.answer(Result.err({ kind: "unknown", detail: "silent" }));
     for (let at = 0; at < 800; at += 100) await advance(clock, 100);
-    const late = store.waiting.get("servers/");
+    const late = store.pendingWatches.get("servers/");
     expect(late).not.toBe(first);
-    store.waiting.get("config/")?.answer(Result.ok({ version: 6, events: [] }));
+    store.pendingWatches
+      .get("config/")
+      ?.answer(Result.ok({ version: 6, events: [] }));
     for (let at = 0; at < 500; at += 100) await advance(clock, 100);
-    expect(store.waiting.get("servers/")).not.toBe(late);
+    expect(store.pendingWatches.get("servers/")).not.toBe(late);
   });
 
-  test("is left alone once it was asked when the store answered", async () => {
-    const store = new WaitingStore();
+  test("is not restarted if it was sent while the store answered", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     await follow(store, clock);
-    const sound = store.waiting.get("servers/");
+    const sound = store.pendingWatches.get("servers/");
     for (let round = 0; round < 5; round += 1) {
-      store.waiting
+      store.pendingWatches
         .get("config/")
         ?.answer(Result.ok({ version: 6, events: [] }));
       await advance(clock, 500);
     }
-    expect(store.waiting.get("servers/")).toBe(sound);
+    expect(store.pendingWatches.get("servers/")).toBe(sound);
   });
 });
 
 describe("the watch of the configuration", () => {
-  test("asks nothing while relays confirm, and asks when they stop", async () => {
-    const store = new WaitingStore();
+  test("is suspended while relays confirm, and resumes when they stop", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock, {
       isRelay: false,
       isIdle: false,
     });
-    const first = store.waiting.get("config/");
-    started.confirmedByRelay(5, 100);
-    expect(started.relayFollowed(5, true)).toBe(false);
+    const first = store.pendingWatches.get("config/");
+    started.receiveRelayConfirmation(5, 100);
+    expect(started.receiveRelayVersion(5, true)).toBe(false);
     for (let at = 0; at < 400; at += 200) await advance(clock, 200);
     started.checkRelays();
-    expect(store.waiting.get("config/")).toBe(first);
+    expect(store.pendingWatches.get("config/")).toBe(first);
     for (let at = 0; at < 400; at += 200) await advance(clock, 200);
     started.checkRelays();
     await advance(clock, 200);
-    const second = store.waiting.get("config/");
+    const second = store.pendingWatches.get("config/");
     expect(second).not.toBe(first);
     expect(second?.after).toBe(6);
     expect(second?.seconds).toBeLessThan(2);
-    // It has only just begun to ask, and is not cut off.
+    // It has only just begun to query the store, so it is not cut off.
     expect(started.cutOff).toBe(false);
   });
 
-  test("asks nothing while relays confirm that there is none yet", async () => {
-    const store = new WaitingStore({ "servers/": ["s1"] });
+  test("is suspended while relays confirm that there is no configuration yet", async () => {
+    const store = new PendingStore({ "servers/": ["s1"] });
     const clock = new ManualClock(1_000);
     const options = { isRelay: false, isIdle: false };
     const started = await follow(store, clock, options);
-    const first = store.waiting.get("config/");
-    started.confirmedByRelay(0, 100);
-    expect(started.relayFollowed(0, true)).toBe(false);
+    const first = store.pendingWatches.get("config/");
+    started.receiveRelayConfirmation(0, 100);
+    expect(started.receiveRelayVersion(0, true)).toBe(false);
     first?.answer(Result.ok({ version: 7, events: [] }));
     for (let at = 0; at < 1_000; at += 200) await advance(clock, 200);
-    expect(store.waiting.get("config/")).toBe(first);
-    expect(started.relayFollowed(8, true)).toBe(true);
+    expect(store.pendingWatches.get("config/")).toBe(first);
+    expect(started.receiveRelayVersion(8, true)).toBe(true);
   });
 
   test("takes a newer version from a relay", async () => {
-    const store = new WaitingStore();
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const options = { isRelay: false, isIdle: false };
     const started = await follow(store, clock, options);
     expect(started.newestConfiguration()).toMatchObject({ version: 6 });
-    started.confirmedByRelay(5, 100);
-    started.relayFollowed(5, true);
-    expect(started.relayFollowed(8, true)).toBe(true);
-    started.configurationByRelay({
+    started.receiveRelayConfirmation(5, 100);
+    started.receiveRelayVersion(5, true);
+    expect(started.receiveRelayVersion(8, true)).toBe(true);
+    started.receiveConfiguration({
       after: 0,
       version: 9,
       events: [{ key: "config/main", version: 8, value: "8" }],
     });
     expect(started.routes?.configuration.version).toBe(8);
-    expect(started.relayFollowed(8, true)).toBe(false);
-    // An older one that comes late changes nothing.
-    started.configurationByRelay({
+    expect(started.receiveRelayVersion(8, true)).toBe(false);
+    // An older version that arrives late changes nothing.
+    started.receiveConfiguration({
       after: 0,
       version: 7,
       events: [{ key: "config/main", version: 7, value: "7" }],
@@ -288,20 +291,20 @@
     expect(started.routes?.configuration.version).toBe(8);
   });
 
-  test("asks the store when no relay passes the newer version on", async () => {
-    const store = new WaitingStore();
+  test("resumes when no relay forwards the newer version", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const options = { isRelay: false, isIdle: false };
     const started = await follow(store, clock, options);
-    const first = store.waiting.get("config/");
-    started.confirmedByRelay(5, 100);
-    started.relayFollowed(5, true);
+    const first = store.pendingWatches.get("config/");
+    started.receiveRelayConfirmation(5, 100);
+    started.receiveRelayVersion(5, true);
     for (let at = 0; at <= 1_200; at += 400) {
-      expect(started.relayFollowed(8, true)).toBe(true);
+      expect(started.receiveRelayVersion(8, true)).toBe(true);
       await advance(clock, 200);
       await advance(clock, 200);
     }
-    const second = store.waiting.get("config/");
+    const second = store.pendingWatches.get("config/");
     expect(second).not.toBe(first);
     second?.answer(
       Result.ok({
@@ -314,29 +317,29 @@
   });
 
   test("is not confirmed by a relay that has another version", async () => {
-    const store = new WaitingStore();
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock);
     await advance(clock, 3_000);
-    started.confirmedByRelay(7, 0);
+    started.receiveRelayConfirmation(7, 0);
     expect(started.age).toBeGreaterThan(3_000);
-    started.confirmedByRelay(5, 0);
+    started.receiveRelayConfirmation(5, 0);
     expect(started.age).toBeLessThan(1_000);
   });
 });
 
 describe("the watch of servers while all hosts start", () => {
-  /** Calls to the store while a server registers every tenth of a second. */
+  /** Counts calls to the store while a server registers every tenth of a second. */
   async function callsOf(options: {
     readonly isRelay: boolean;
     readonly isIdle: boolean;
   }): Promise<number> {
-    const store = new WaitingStore();
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     await follow(store, clock, options);
-    const answered = new Set<Waiting>();
+    const answered = new Set<PendingWatch>();
     for (let change = 0; change < 30; change += 1) {
-      const waiting = store.waiting.get("servers/");
+      const waiting = store.pendingWatches.get("servers/");
       if (waiting !== undefined) {
         answered.add(waiting);
         waiting.answer(Result.ok({ version: 7 + change, events: [] }));
@@ -346,12 +349,12 @@
     return answered.size;
   }
 
-  test("takes many changes together on a host without requests", async () => {
+  test("coalesces many changes on a host without requests", async () => {
     const calls = await callsOf({ isRelay: false, isIdle: true });
     expect(calls).toBeLessThanOrEqual(4);
   });
 
-  test("and few once requests come", async () => {
+  test("coalesces few changes once requests arrive", async () => {
     const calls = await callsOf({ isRelay: false, isIdle: false });
     expect(calls).toBeGreaterThan(10);
   });
@@ -360,41 +363,41 @@
 describe("a member whose relays lost the store", () => {
   const MEMBER = { isRelay: false, isIdle: false };
 
-  test("asks for itself within 0.8 s, whatever peers confirm", async () => {
-    const store = new WaitingStore();
+  test("queries the store within 0.8 s, whatever peers confirm", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock, MEMBER);
-    const first = store.waiting.get("config/");
-    started.confirmedByRelay(5, 100);
-    started.relayFollowed(5, true);
+    const first = store.pendingWatches.get("config/");
+    started.receiveRelayConfirmation(5, 100);
+    started.receiveRelayVersion(5, true);
     for (let at = 0; at < 600; at += 200) {
       await advance(clock, 200);
-      started.confirmedByRelay(5, 100);
-      started.relayFollowed(5, false);
+      started.receiveRelayConfirmation(5, 100);
+      started.receiveRelayVersion(5, false);
       started.checkRelays();
     }
     await advance(clock, 200);
-    expect(store.waiting.get("config/")).not.toBe(first);
+    expect(store.pendingWatches.get("config/")).not.toBe(first);
   });
 
-  test("goes on by the other relay", async () => {
-    const store = new WaitingStore();
+  test("relies on the other relay", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock, MEMBER);
-    const first = store.waiting.get("config/");
+    const first = store.pendingWatches.get("config/");
     for (let at = 0; at < 3_000; at += 400) {
-      started.confirmedByRelay(5, 100);
-      started.relayFollowed(5, true);
+      started.receiveRelayConfirmation(5, 100);
+      started.receiveRelayVersion(5, true);
       await advance(clock, 200);
-      started.relayFollowed(5, false);
+      started.receiveRelayVersion(5, false);
       started.checkRelays();
       await advance(clock, 200);
     }
-    expect(store.waiting.get("config/")).toBe(first);
+    expect(store.pendingWatches.get("config/")).toBe(first);
   });
 });
 
-describe("a member while relays tell of the store", () => {
+describe("a member while relays report on the store", () => {
   const MEMBER = { isRelay: false, isIdle: false };
   const REMOVAL = {
     after: 6,
@@ -402,22 +405,22 @@
     events: [{ key: "servers/s1", version: 8 }],
   };
 
-  test("passes a server on as gone at once", async () => {
-    const store = new WaitingStore();
+  test("reports a server as gone at once", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock, MEMBER);
-    started.confirmedByRelay(5, 100);
+    started.receiveRelayConfirmation(5, 100);
     started.serversByRelay(REMOVAL);
     expect(gone).toEqual(["s1"]);
   });
 
-  test("waits for lapsed servers after an outage of the relays' store", async () => {
-    const store = new WaitingStore();
+  test("waits for expired entries after relays had lost the store", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock, MEMBER);
-    started.confirmedByRelay(5, 3_000);
+    started.receiveRelayConfirmation(5, 3_000);
     await advance(clock, 400);
-    started.confirmedByRelay(5, 100);
+    started.receiveRelayConfirmation(5, 100);
     started.serversByRelay(REMOVAL);
     await advance(clock, 1_500);
     expect(gone).toEqual([]);
@@ -425,60 +428,60 @@
     expect(gone).toEqual(["s1"]);
   });
 
-  test("asks the store at once when it becomes a relay", async () => {
-    const store = new WaitingStore();
+  test("queries the store at once when it becomes a relay", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const roles = { isRelay: false, isIdle: false };
     const started = await follow(store, clock, roles);
-    const first = store.waiting.get("config/");
-    started.confirmedByRelay(5, 100);
-    started.relayFollowed(5, true);
+    const first = store.pendingWatches.get("config/");
+    started.receiveRelayConfirmation(5, 100);
+    started.receiveRelayVersion(5, true);
     await advance(clock, 200);
     roles.isRelay = true;
     started.checkRelays();
     await advance(clock, 200);
-    expect(store.waiting.get("config/")).not.toBe(first);
+    expect(store.pendingWatches.get("config/")).not.toBe(first);
   });
 });
 
-describe("a relay that lost its way to the store", () => {
-  test("tells no changes of servers", async () => {
-    const store = new WaitingStore();
+describe("a relay that lost its connection to the store", () => {
+  test("forwards no changes of servers", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock);
     expect(started.recentServers()).toMatchObject({ version: 6 });
     const unavailable = { kind: "unavailable", detail: "busy" } as const;
-    store.waiting.get("config/")?.answer(Result.err(unavailable));
+    store.pendingWatches.get("config/")?.answer(Result.err(unavailable));
     await advance(clock, 10);
     expect(started.recentServers()).toBeUndefined();
   });
 
-  test("or that hears nothing from it", async () => {
-    const store = new WaitingStore();
+  test("forwards no changes of servers while the store is silent", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock);
     await advance(clock, 3_000);
     expect(started.recentServers()).toBeUndefined();
   });
 
-  test("is not believed: its hosts ask the store again", async () => {
-    const store = new WaitingStore();
+  test("is not trusted: its hosts query the store again", async () => {
+    const store = new PendingStore();
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock);
-    const first = store.waiting.get("servers/");
-    const told = { after: 6, version: 6, events: [] };
-    started.serversByRelay(told);
+    const first = store.pendingWatches.get("servers/");
+    const changes = { after: 6, version: 6, events: [] };
+    started.serversByRelay(changes);
     await advance(clock, 400);
     await advance(clock, 400);
-    started.serversByRelay(told);
-    // The other relay told of them just now.
+    started.serversByRelay(changes);
+    // The other relay reported changes just now.
     started.serversByRelay(undefined);
     await advance(clock, 400);
-    expect(store.waiting.get("servers/")).toBe(first);
+    expect(store.pendingWatches.get("servers/")).toBe(first);
     await advance(clock, 400);
     await advance(clock, 400);
     started.serversByRelay(undefined);
     await advance(clock, 200);
-    expect(store.waiting.get("servers/")).not.toBe(first);
+    expect(store.pendingWatches.get("servers/")).not.toBe(first);
   });
 });
--- a/packages/rampswitch-serving/src/configuration/lapsed_servers.ts
+++ b/packages/rampswitch-serving/src/configuration/lapsed_servers.ts
@@ -1,28 +1,28 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Servers whose entries went from the store. After an outage of the store an
- * entry that went may come back, since entries lapse while servers can't renew
- * them; only one that stays away is passed on as gone.
+ * Servers whose entries were removed from the store. Entries expire during an
+ * outage of the store, because servers can't renew them. After an outage, a
+ * server is therefore reported as gone only if its entry does not reappear.
  *
  * @module
  */
 import type { Clock, Logger } from "rampswitch-utils";
 
 /**
- * Time after the store's return in which lapsed entries come back, in
- * milliseconds; as the platform's users tell.
+ * Time after an outage of the store in which expired entries reappear, in
+ * milliseconds. The platform's users stated the value.
  */
-const LAPSED_MILLISECONDS = 2_000;
+const REAPPEARANCE_WAIT_MILLISECONDS = 2_000;
 
-/** Entries that went and are not passed on as gone yet. */
+/** Delays the report of removed entries after an outage of the store. */
 export class LapsedServers {
   readonly #parts: { readonly clock: Clock; readonly logger: Logger };
   readonly #onGone: (id: string) => void;
   readonly #removed = new Set<string>();
-  #away = false;
+  #storeUnavailable = false;
   /** When the store last answered again after an outage. */
-  #returnedAt = -Infinity;
+  #storeReturnedAt = -Infinity;
 
   constructor(
     parts: { readonly clock: Clock; readonly logger: Logger },
@@ -32,43 +32,46 @@
     this.#onGone = onGone;
   }
 
-  /** Takes in that the store does not answer. */
+  /** The store does not answer. */
   storeLost(): void {
-    this.#away = true;
+    this.#storeUnavailable = true;
   }
 
-  /** Takes in that the store answers, to this host or to its relays. */
-  storeAnswers(): void {
-    if (!this.#away) return;
-    this.#away = false;
-    this.#returnedAt = this.#parts.clock.now();
+  /** The store answered this host or one of its relays. */
+  storeAnswered(): void {
+    if (!this.#storeUnavailable) return;
+    this.#storeUnavailable = false;
+    this.#storeReturnedAt = this.#parts.clock.now();
   }
 
-  /** Takes in that the store came back, if only for a moment. */
+  /** The store was restored, or was available at least for a moment. */
   storeReturned(): void {
-    this.#away = true;
-    this.storeAnswers();
+    this.#storeUnavailable = true;
+    this.storeAnswered();
   }
 
-  /** An entry is there. */
-  present(id: string): void {
+  /** An entry is in the store. */
+  entryPresent(id: string): void {
     this.#removed.delete(id);
   }
 
-  /** An entry went. */
-  removed(id: string): void {
+  /** An entry was removed from the store. */
+  entryRemoved(id: string): void {
     const { clock, logger } = this.#parts;
-    const left = this.#returnedAt + LAPSED_MILLISECONDS - clock.now();
-    const wait = this.#away ? LAPSED_MILLISECONDS : left;
+    const remaining =
+      this.#storeReturnedAt + REAPPEARANCE_WAIT_MILLISECONDS - clock.now();
+    const wait = this.#storeUnavailable
+      ? REAPPEARANCE_WAIT_MILLISECONDS
+      : remaining;
     this.#removed.add(id);
-    if (wait <= 0) this.#pass(id);
+    if (wait <= 0) this.#reportGone(id);
     else {
       logger.info("server entry lapsed", { server: id });
-      clock.after(wait, () => this.#pass(id));
+      clock.after(wait, () => this.#reportGone(id));
     }
   }
 
-  #pass(id: string): void {
+  #reportGone(id: string): void {
     if (this.#removed.delete(id)) this.#onGone(id);
   }
 }
--- a/packages/rampswitch-serving/src/host_gossip.ts
+++ b/packages/rampswitch-serving/src/host_gossip.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What this host tells its peers, and what it makes of their news.
+ * Gossip of a host: builds the updates that it sends to its peers, and applies
+ * those that it receives.
  *
  * @module
  */
@@ -31,9 +32,9 @@
 import type { LoadMeter } from "./relay/load_meter.ts";
 import type { ReadingRates } from "./relay/reading_rates.ts";
 
-/** Parts that news comes from and goes to. */
-export interface HostNewsParts {
-  /** A steady clock. */
+/** Sources and targets of updates. */
+export interface HostGossipParts {
+  /** A monotonic clock. */
   readonly clock: Clock;
   readonly directory: ServerDirectory;
   readonly prefixes: PrefixKnowledge;
@@ -45,34 +46,34 @@
   readonly follower: ConfigurationFollower;
   readonly quarantine: Quarantine;
   readonly rollouts: Rollouts;
-  readonly turns: ServerTurns;
-  readonly leavingStatements: LeavingStatements;
-  /** Hosts that may give turns at limited servers. */
-  turnHolders(): readonly string[];
-  /** Time of day on which the hosts agree, in milliseconds. */
-  wallTime(): number;
+  readonly permits: ServerTurns;
+  readonly leavingAdvertisements: LeavingStatements;
+  /** Hosts that may issue permits for limited servers. */
+  permitHolders(): readonly string[];
+  /** Fleet time, the time of day on which the hosts agree, in milliseconds. */
+  fleetTime(): number;
   /** Whether this host is about to end. */
   stopping(): boolean;
-  /** Asks a relay for the newest configuration. */
-  askConfiguration(relay: string): void;
+  /** Requests the newest configuration from a relay. */
+  requestConfiguration(relay: string): void;
 }
 
-/** News of one host. */
-export class HostNews {
-  readonly #parts: HostNewsParts;
-  /** What this host had admitted at each of its newest messages. */
-  readonly #told = new Map<number, AdmittedTotals>();
-  readonly #leases = new Map<string, HeardLease>();
-  /** Of this round; a relay tells these to each of its members. */
-  #quarantineNews: readonly QuarantineNews[] = [];
-  #leavingNews: readonly LeavingNews[] = [];
-  #limitNews: readonly LimitNews[] = [];
+/** Builds and applies the updates of one host. */
+export class HostGossip {
+  readonly #parts: HostGossipParts;
+  /** Totals that this host reported, by the sequence number of the message. */
+  readonly #reportedTotals = new Map<number, AdmittedTotals>();
+  readonly #leases = new Map<string, ReceivedLease>();
+  /** Updates of this round, which a relay sends to each of its members. */
+  #quarantineUpdates: readonly QuarantineNews[] = [];
+  #leavingUpdates: readonly LeavingNews[] = [];
+  #limitUpdates: readonly LimitNews[] = [];
 
-  constructor(parts: HostNewsParts) {
+  constructor(parts: HostGossipParts) {
     this.#parts = parts;
   }
 
-  /** Load of a service over all hosts; asking adds to its history. */
+  /** Load of a service over all hosts; each call adds to the load's history. */
   load(service: string): ServiceLoad {
     return {
       running: this.#parts.meter.meanRunning(
@@ -84,8 +85,8 @@
     };
   }
 
-  /** What to tell the peers now, in the message with this number. */
-  own(message: {
+  /** The update for the message to the peers with this sequence number. */
+  ownUpdate(message: {
     readonly sequence: number;
     readonly role: HostRole;
   }): OwnNews {
@@ -93,12 +94,14 @@
     limits.setPace(PACE_BY_ROLE[message.role]);
     if (message.role !== "member") limits.followPeers();
     this.#parts.follower.checkRelays();
-    this.#noteTold(message.sequence, limits.totals());
-    this.#quarantineNews = this.#parts.quarantine.news();
-    this.#leavingNews = this.#parts.leavingStatements.news({ ownOnly: false });
-    this.#limitNews = this.#parts.turns.limits(this.#parts.clock.now());
-    this.#parts.duties.usage.forgetOld(this.#parts.wallTime());
-    // Every host keeps a history of the load, so that it can take the duties.
+    this.#recordReported(message.sequence, limits.totals());
+    this.#quarantineUpdates = this.#parts.quarantine.news();
+    this.#leavingUpdates = this.#parts.leavingAdvertisements.news({
+      ownOnly: false,
+    });
+    this.#limitUpdates = this.#parts.permits.limits(this.#parts.clock.now());
+    this.#parts.duties.usage.forgetOld(this.#parts.fleetTime());
+    // Every host maintains the history of the load, so that it can take the duties.
     this.#parts.follower.routes?.configuration.services.forEach(({ name }) =>
       this.load(name),
     );
@@ -111,64 +114,67 @@
       admitted: this.#parts.limits.totals(),
       levels: limits.levels(this.#parts.clock.now()),
       work: this.#parts.directory.ownWork(),
-      counts: this.#parts.duties.usage.own(this.#parts.wallTime()),
-      // In a large fleet, hosts agree on servers by hash instead.
+      counts: this.#parts.duties.usage.own(this.#parts.fleetTime()),
+      // In a large fleet, hosts agree on servers by hash instead of dispatches.
       dispatches:
         message.role === "direct"
           ? this.#parts.dispatches.take(this.#parts.clock.now())
           : [],
       readTokens: this.#parts.meter.ownReadTokens(),
       lease: this.#parts.duties.lease,
-      quarantine: this.#quarantineNews,
+      quarantine: this.#quarantineUpdates,
       rollouts: this.#parts.rollouts.news(this.#parts.clock.now()),
-      ...this.#turnNews(message.role),
-      leaving: this.#parts.leavingStatements.news({
+      ...this.#permitUpdate(message.role),
+      leaving: this.#parts.leavingAdvertisements.news({
         ownOnly: message.role !== "direct",
       }),
     };
   }
 
-  #turnNews(role: HostRole): TurnNews {
-    const holders = this.#parts.turnHolders();
-    return this.#parts.turns.news({ holders, tellsAll: role === "direct" });
+  #permitUpdate(role: HostRole): TurnNews {
+    const holders = this.#parts.permitHolders();
+    return this.#parts.permits.news({ holders, tellsAll: role === "direct" });
   }
 
-  #noteTold(sequence: number, totals: AdmittedTotals): void {
-    this.#told.set(sequence, totals);
-    this.#told.delete(sequence - KEPT_MESSAGES);
+  #recordReported(sequence: number, totals: AdmittedTotals): void {
+    this.#reportedTotals.set(sequence, totals);
+    this.#reportedTotals.delete(sequence - MAXIMUM_UNACKNOWLEDGED_MESSAGES);
   }
 
-  /** What to tell a host of this data hall about all others. */
+  /** The view of all other hosts to send to a host of this data hall. */
   viewFor(host: string): FleetView {
     const { limits, directory, follower, clock } = this.#parts;
     const now = clock.now();
     const own = this.#parts.duties.lease;
-    const heard = [...this.#leases.values()]
-      .filter(({ at }) => now - at < LEASE_NEWS_MILLISECONDS)
+    const received = [...this.#leases.values()]
+      .filter(
+        ({ receivedAt }) =>
+          now - receivedAt < LEASE_UPDATE_LIFETIME_MILLISECONDS,
+      )
       .map(({ lease }) => lease);
     return {
       configurationVersion: follower.routes?.configuration.version ?? 0,
       configurationAge: this.#ownConfirmationAge(),
       followed: this.#parts.follower.followed,
-      // Before a relay heard what others spent, its levels are too high.
+      // Before a relay has received the others' consumption, its levels are too high.
       levels: limits.knowsLevels(now) ? limits.levels(now) : {},
       silentShare: limits.silentShare(now),
       work: directory.workBeside(host, now),
-      leases: own === undefined ? heard : [own, ...heard],
+      leases: own === undefined ? received : [own, ...received],
       servers: follower.recentServers(),
-      quarantine: this.#quarantineNews,
+      quarantine: this.#quarantineUpdates,
       rollouts: this.#parts.rollouts.word(now),
-      limits: this.#limitNews,
-      leaving: this.#leavingNews,
+      limits: this.#limitUpdates,
+      leaving: this.#leavingUpdates,
     };
   }
 
-  /** Takes in a relay's word on the whole fleet. */
-  heardDigest(digest: FleetDigest): void {
+  /** Applies a relay's digest of the whole fleet. */
+  receiveDigest(digest: FleetDigest): void {
     const { directory, limits, clock } = this.#parts;
     const now = clock.now();
     if (digest.configurationAge !== undefined) {
-      this.#parts.follower.confirmedByRelay(
+      this.#parts.follower.receiveRelayConfirmation(
         digest.configurationVersion,
         digest.configurationAge,
       );
@@ -176,21 +182,21 @@
     this.#parts.follower.serversByRelay(digest.servers);
     const { configuration } = digest.followed;
     const reachesStore = digest.servers !== undefined;
-    const isBehind = this.#parts.follower.relayFollowed(
+    const isBehind = this.#parts.follower.receiveRelayVersion(
       configuration,
       reachesStore,
     );
-    if (isBehind) this.#parts.askConfiguration(digest.relay);
-    this.#parts.follower.othersFollowed(digest.followed);
-    directory.heardPeer(FLEET, digest.work, now);
-    const acknowledged = this.#told.get(digest.acknowledged);
+    if (isBehind) this.#parts.requestConfiguration(digest.relay);
+    this.#parts.follower.receivePeerVersions(digest.followed);
+    directory.heardPeer(FLEET_SENDER, digest.work, now);
+    const acknowledged = this.#reportedTotals.get(digest.acknowledged);
     if (acknowledged !== undefined) {
       limits.followRelay({ ...digest, acknowledged }, now);
     }
     this.#parts.quarantine.heard(digest.quarantine);
     this.#parts.rollouts.heard(digest.rollouts, { now });
-    this.#parts.turns.heardLimits(digest.limits, 0);
-    this.#parts.leavingStatements.heard(digest.leaving, 0);
+    this.#parts.permits.heardLimits(digest.limits, 0);
+    this.#parts.leavingAdvertisements.heard(digest.leaving, 0);
     digest.leases.forEach((lease) => this.#parts.duties.heard(lease));
   }
 
@@ -199,40 +205,44 @@
     return Number.isFinite(age) ? age : undefined;
   }
 
-  /** Takes in a peer's news, and how long ago it told it, in milliseconds. */
-  heard(news: PeerNews, age: number): void {
+  /** Applies a peer's update that was sent `age` milliseconds ago. */
+  receiveUpdate(update: PeerNews, age: number): void {
     const now = this.#parts.clock.now();
-    if (news.configurationAge !== undefined) {
-      this.#parts.follower.confirmedByPeer(
-        news.configurationVersion,
-        news.configurationAge,
+    if (update.configurationAge !== undefined) {
+      this.#parts.follower.receivePeerConfirmation(
+        update.configurationVersion,
+        update.configurationAge,
       );
     }
-    this.#parts.follower.othersFollowed(news.followed);
-    this.#parts.directory.heardPeer(news.host, news.work, now);
-    this.#parts.leavingStatements.heard(news.leaving, age);
-    this.#parts.turns.heard(news.host, news, age);
+    this.#parts.follower.receivePeerVersions(update.followed);
+    this.#parts.directory.heardPeer(update.host, update.work, now);
+    this.#parts.leavingAdvertisements.heard(update.leaving, age);
+    this.#parts.permits.heard(update.host, update, age);
     this.#parts.limits.heard(
-      news.host,
+      update.host,
       {
-        incarnation: news.incarnation,
-        totals: news.admitted,
-        levels: news.levels,
-        stopping: news.stopping,
+        incarnation: update.incarnation,
+        totals: update.admitted,
+        levels: update.levels,
+        stopping: update.stopping,
       },
       now,
     );
-    this.#parts.quarantine.heard(news.quarantine);
-    this.#parts.rollouts.heard(news.rollouts, {
-      life: `${news.host}/${news.incarnation}`,
+    this.#parts.quarantine.heard(update.quarantine);
+    this.#parts.rollouts.heard(update.rollouts, {
+      life: `${update.host}/${update.incarnation}`,
       now,
     });
-    this.#parts.duties.usage.heard(news.host, news.incarnation, news.counts);
+    this.#parts.duties.usage.heard(
+      update.host,
+      update.incarnation,
+      update.counts,
+    );
     this.#parts.meter.heard(
-      `${news.host}/${news.incarnation}`,
-      news.readTokens,
+      `${update.host}/${update.incarnation}`,
+      update.readTokens,
     );
-    news.dispatches.forEach(({ server, born, parts }) => {
+    update.dispatches.forEach(({ server, born, parts }) => {
       const record = this.#parts.directory.get(server);
       if (record === undefined || !record.isLife(born)) return;
       const engine = this.#parts.follower.routes?.service(
@@ -241,23 +251,24 @@
       if (engine === undefined) return;
       this.#parts.prefixes.stored(server, parts, engine.memoryTokens);
     });
-    if (news.lease !== undefined) {
-      this.#leases.set(news.host, { lease: news.lease, at: now });
-      this.#parts.duties.heard(news.lease);
+    if (update.lease !== undefined) {
+      this.#leases.set(update.host, { lease: update.lease, receivedAt: now });
+      this.#parts.duties.heard(update.lease);
     }
   }
 }
 
-interface HeardLease {
+/** A peer's lease and when this host received it. */
+interface ReceivedLease {
   readonly lease: LeaseNews;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
-/** Messages whose totals are kept until a relay acknowledges them. */
-const KEPT_MESSAGES = 16;
+/** Messages whose totals are stored until a relay acknowledges them. */
+const MAXIMUM_UNACKNOWLEDGED_MESSAGES = 16;
 
-/** News of the lease is passed on for this long, in milliseconds. */
-const LEASE_NEWS_MILLISECONDS = 3_000;
+/** Time for which a received lease is forwarded, in milliseconds. */
+const LEASE_UPDATE_LIFETIME_MILLISECONDS = 3_000;
 
-/** Name under which the work of the whole fleet is kept. */
-const FLEET = "(fleet)";
+/** Sender's name under which the work of the whole fleet is stored. */
+const FLEET_SENDER = "(fleet)";
--- a/packages/rampswitch-serving/src/mod.ts
+++ b/packages/rampswitch-serving/src/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The serving host: request pipeline, shared limits, membership and duties.
+ * The serving host: the request pipeline, shared limits, membership and duties.
  *
  * @module
  */
--- a/packages/rampswitch-serving/src/planned_stop.ts
+++ b/packages/rampswitch-serving/src/planned_stop.ts
@@ -1,36 +1,39 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The wait of a planned stop: balancers notice it first, then idle connections
- * are closed, and the process ends when nothing is in progress.
+ * The wait of a planned stop: load balancers detect the stop first, then idle
+ * connections are closed, and the process ends when nothing is in progress.
  *
  * @module
  */
 import { type Clock, sleep } from "rampswitch-utils";
 import type { CallerServer } from "./intake/caller_server.ts";
 
-/** Shortest planned stop: balancers notice it meanwhile, in milliseconds. */
-const SHORTEST_STOP_MILLISECONDS = 3_000;
+/**
+ * Minimum duration of a planned stop, in milliseconds. Load balancers detect the
+ * stop in this time.
+ */
+const MINIMUM_STOP_MILLISECONDS = 3_000;
 
-/** Margin before the forced end, in milliseconds. */
+/** Time that is left before the forced end of the process, in milliseconds. */
 const STOP_MARGIN_MILLISECONDS = 400;
 
-/** Time between looks whether a stopping host is done, in milliseconds. */
-const STOP_LOOK_MILLISECONDS = 50;
+/** Time between checks whether a stopping host is idle, in milliseconds. */
+const STOP_POLL_INTERVAL_MILLISECONDS = 50;
 
-/** Waits until nothing is in progress, or until the grace is nearly over. */
-export async function untilIdle(
+/** Waits until nothing is in progress, or until the grace period is nearly over. */
+export async function waitUntilIdle(
   callers: CallerServer,
   clock: Clock,
   stop: { readonly startedAt: number; readonly graceMilliseconds: number },
 ): Promise<void> {
-  const latest =
+  const latestEnd =
     stop.startedAt + stop.graceMilliseconds - STOP_MARGIN_MILLISECONDS;
   const now = clock.now();
-  const early = now - stop.startedAt < SHORTEST_STOP_MILLISECONDS;
-  if (!early) callers.closeIdleConnections();
-  const busy = callers.inProgress > 0;
-  if (now >= latest || (!early && !busy)) return;
-  await sleep(clock, STOP_LOOK_MILLISECONDS);
-  await untilIdle(callers, clock, stop);
+  const isEarly = now - stop.startedAt < MINIMUM_STOP_MILLISECONDS;
+  if (!isEarly) callers.closeIdleConnections();
+  const isBusy = callers.inProgress > 0;
+  if (now >= latestEnd || (!isEarly && !isBusy)) return;
+  await sleep(clock, STOP_POLL_INTERVAL_MILLISECONDS);
+  await waitUntilIdle(callers, clock, stop);
 }
--- a/packages/rampswitch-serving/src/server_listing.ts
+++ b/packages/rampswitch-serving/src/server_listing.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What a host makes of the entries of backend servers: which servers are listed,
- * and what goes with a life that has ended.
+ * Applies the entries of backend servers to a host: lists servers, and discards
+ * the state of incarnations that have ended.
  *
  * @module
  */
@@ -23,9 +23,9 @@
 import type { ServerTurns } from "./server_limits/mod.ts";
 import type { RequestRun } from "./relay/request_run.ts";
 
-/** Parts that know something of backend servers. */
+/** Parts that hold state of backend servers. */
 export interface ServerListingParts {
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
@@ -35,7 +35,7 @@
   readonly dispatches: RecentDispatches;
   readonly quarantine: Quarantine;
   readonly rollouts: Rollouts;
-  readonly turns: ServerTurns;
+  readonly permits: ServerTurns;
   /** Requests in progress. */
   runs(): readonly RequestRun[];
 }
@@ -44,64 +44,65 @@
   readonly [Kind in EntryOutcome["kind"]]: (
     server: BackendServer,
     outcome: Extract<EntryOutcome, { readonly kind: Kind }>,
-  ) => Taken;
+  ) => ListingResult;
 };
 
-/** Whether an entry was taken in; an error says why it can't be read. */
-type Taken = Result<undefined, string>;
+/** Whether an entry was accepted; an error states why it can't be read. */
+type ListingResult = Result<undefined, string>;
 
-const TAKEN: Taken = Result.ok(undefined);
+const ACCEPTED: ListingResult = Result.ok(undefined);
 
-/** Why an entry without a life can't be read where one was told before. */
-const WITHOUT_LIFE: Taken = Result.err(
-  "entry: expected the start of the server's life, as it told one before",
+/** Error for an entry without an incarnation where an earlier entry had one. */
+const MISSING_INCARNATION: ListingResult = Result.err(
+  "entry: expected the start of the server's incarnation, which an earlier entry had",
 );
 
-/** Takes in entries of backend servers. */
+/** Applies entries of backend servers. */
 export class ServerListing {
   readonly #parts: ServerListingParts;
   readonly #handlers: Handlers = {
-    listed: (server) => this.#tellListed(server),
+    listed: (server) => this.#logListed(server),
     started_again: (server, { former }) => {
-      this.#startedAgain(server, former);
-      return this.#tellListed(server);
+      this.#handleRestart(server, former);
+      return this.#logListed(server);
     },
-    former_life: (server, { known }) => this.#tellFormerLife(server, known),
-    without_life: () => WITHOUT_LIFE,
+    former_life: (server, { known }) =>
+      this.#logFormerIncarnation(server, known),
+    without_life: () => MISSING_INCARNATION,
   };
 
   constructor(parts: ServerListingParts) {
     this.#parts = parts;
   }
 
-  /** An entry is new or has changed. */
-  changed(server: BackendServer): Taken {
+  /** Applies an entry that is new or has changed. */
+  changed(server: BackendServer): ListingResult {
     const { directory, clock } = this.#parts;
     const outcome = directory.put(server, clock.now());
     this.#parts.rollouts.listed(server, clock.now());
     const handle = this.#handlers[outcome.kind] as (
       server: BackendServer,
       outcome: EntryOutcome,
-    ) => Taken;
+    ) => ListingResult;
     return handle(server, outcome);
   }
 
-  /** An entry can't be read; it names no server to use until it is good. */
+  /** An entry can't be read; its server is not used until it is readable. */
   unreadable(id: string): void {
     this.#parts.directory.unreadable(id);
   }
 
-  /** An entry is gone. */
+  /** An entry was removed. */
   gone(id: string): void {
     const { directory, clock, client, prefixes, logger } = this.#parts;
-    this.#endsUnannounced(directory.get(id));
+    this.#recordUnannouncedEnd(directory.get(id));
     directory.remove(id, clock.now());
     client.forget(id);
     prefixes.retain(new Set(directory.all().map(({ entry }) => entry.id)));
     logger.info("server gone", { server: id });
   }
 
-  #tellListed(server: BackendServer): Taken {
+  #logListed(server: BackendServer): ListingResult {
     this.#parts.logger.info("server listed", {
       server: server.id,
       born: server.born,
@@ -111,23 +112,26 @@
       state: server.state,
       reclaimable: server.reclaimable,
     });
-    return TAKEN;
+    return ACCEPTED;
   }
 
-  /** What fell silent at a server that crashed was its last work. */
-  #endsUnannounced(record: ServerRecord | undefined): void {
+  /**
+   * Reports an incarnation that ended without an announcement to the quarantine:
+   * the requests that ran there may have crashed the server.
+   */
+  #recordUnannouncedEnd(record: ServerRecord | undefined): void {
     if (record === undefined || record.leavingSince !== undefined) return;
     this.#parts.quarantine.lifeEnded(record.life);
   }
 
-  /** All that speaks of a server's former life goes with it. */
-  #startedAgain(server: BackendServer, former: ServerRecord): void {
+  /** Discards all state of a restarted server's former incarnation. */
+  #handleRestart(server: BackendServer, former: ServerRecord): void {
     const { client, prefixes, dispatches, logger, metrics } = this.#parts;
     client.forget(server.id);
     prefixes.forget(server.id);
     dispatches.forget(server.id);
-    this.#parts.turns.forget(former);
-    this.#endsUnannounced(former);
+    this.#parts.permits.forget(former);
+    this.#recordUnannouncedEnd(former);
     const stopped = this.#parts.runs().filter((run) => run.server === former);
     metrics.event("server_started_again");
     logger.info("server started again", {
@@ -139,13 +143,16 @@
     stopped.forEach((run) => run.serverEnded(former));
   }
 
-  #tellFormerLife({ id, born }: BackendServer, known: ServerRecord): Taken {
+  #logFormerIncarnation(
+    { id, born }: BackendServer,
+    known: ServerRecord,
+  ): ListingResult {
     this.#parts.metrics.event("server_former_life");
     this.#parts.logger.warn("server entry of a former life left out", {
       server: id,
       born,
       knownBorn: known.entry.born,
     });
-    return TAKEN;
+    return ACCEPTED;
   }
 }
--- a/packages/rampswitch-serving/src/serving_host.ts
+++ b/packages/rampswitch-serving/src/serving_host.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One serving host: puts the parts together and leads the process from start to
+ * One serving host: connects the parts and runs the process from its start to a
  * planned stop.
  *
  * @module
@@ -34,7 +34,7 @@
 import { CallerServer } from "./intake/caller_server.ts";
 import { serveReadiness } from "./intake/readiness_server.ts";
 import type { RouteIndex } from "./intake/route_index.ts";
-import { HostNews } from "./host_news.ts";
+import { HostGossip } from "./host_gossip.ts";
 import {
   Membership,
   newsLagMilliseconds,
@@ -59,7 +59,7 @@
 import { LoadMeter } from "./relay/load_meter.ts";
 import { ReadingRates } from "./relay/reading_rates.ts";
 import type { RequestContext } from "./relay/request_context.ts";
-import { untilIdle } from "./planned_stop.ts";
+import { waitUntilIdle } from "./planned_stop.ts";
 import { ServerTurns, TurnWaits } from "./server_limits/mod.ts";
 import {
   LeavingStatements,
@@ -75,47 +75,49 @@
   type ServingBounds,
   type ServingSettings,
 } from "./serving_settings.ts";
-import { ServingLife } from "./serving_life.ts";
+import { ServingLifecycle } from "./serving_lifecycle.ts";
 
-/** Everything outside the process that a host works with. */
+/** Everything outside the process that a host uses. */
 export interface ServingPorts {
   readonly store: ObjectStore;
   readonly formats: StoredFormats;
   readonly codec: WireCodec;
   readonly engineControl: EngineControl;
   readonly cloud: Cloud;
-  /** Prefix of host entries and key of the duties' lease in the store. */
+  /** Prefix of the keys of host entries in the store. */
   readonly hostsPrefix: string;
+  /** Key of the duties' lease in the store. */
   readonly leaseKey: string;
-  /** Prefix of the object with the quarantined requests in the store. */
+  /** Prefix of the key of the quarantined requests in the store. */
   readonly quarantinePrefix: string;
   readonly rolloutOrders: RolloutOrders;
   readonly readinessPath: string;
   readonly metricsPath: string;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
   readonly wallTime: () => number;
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
-  /** Differs for each life of the process. */
+  /** Differs for each incarnation of the process. */
   readonly incarnation: string;
 }
 
 /**
- * Share of the bound on removed keys up to which a confirmation is trusted; the
- * rest covers a pause of the process between the check and the send.
+ * Maximum age of a trusted confirmation, as a share of the time after which a
+ * removed key must not work. The rest covers a pause of the process between the
+ * check and the send.
  */
-const TRUSTED_SHARE = 0.8;
+const TRUSTED_CONFIRMATION_AGE_SHARE = 0.8;
 
-/** Turn of a host that knows no other one yet. */
-const ONLY_HOST_TURN = { rank: 0, lagMilliseconds: 0 };
+/** Position of a host before it knows any other host. */
+const SINGLE_HOST_POSITION = { rank: 0, lagMilliseconds: 0 };
 
 /** Time for which a stopping host still starts requests, in milliseconds. */
 const STOP_INTAKE_MILLISECONDS = 2_600;
 
-/** Time between looks whether a version is left, in milliseconds. */
-const LEAVING_MILLISECONDS = 100;
+/** Time between checks of versions that are being left, in milliseconds. */
+const VERSION_CHECK_INTERVAL_MILLISECONDS = 100;
 
 /** One serving host. */
 export class ServingHost implements AsyncDisposable {
@@ -123,7 +125,7 @@
   readonly #ports: ServingPorts;
   readonly #cautiousClock: CautiousClock;
   readonly #ownership = new Ownership();
-  readonly #life = new ServingLife();
+  readonly #lifecycle = new ServingLifecycle();
   readonly #directory = new ServerDirectory();
   readonly #prefixes = new PrefixKnowledge();
   readonly #limits: WorkspaceLimits;
@@ -133,23 +135,23 @@
   readonly #quarantineStore: QuarantineStore;
   readonly #rollouts: Rollouts;
   readonly #rolloutStore: RolloutStore;
-  #stopped: Promise<void> | undefined;
-  #cancelLeaving: () => void = () => undefined;
+  #stopping: Promise<void> | undefined;
+  #cancelVersionCheck: () => void = () => undefined;
   readonly #readingRates = new ReadingRates();
   readonly #holdTimes = new HoldTimes();
   readonly #arrivalRates: ArrivalRates;
-  readonly #places = new KnownPlaces();
-  readonly #turns: ServerTurns;
-  readonly #restWaits = new TurnWaits();
-  readonly #leavingStatements: LeavingStatements;
-  readonly #statements: StatementReader;
+  readonly #slotTotals = new KnownPlaces();
+  readonly #permits: ServerTurns;
+  readonly #backOffWaits = new TurnWaits();
+  readonly #leavingAdvertisements: LeavingStatements;
+  readonly #advertisements: StatementReader;
   readonly #dispatches = new RecentDispatches();
   readonly #meter: LoadMeter;
   readonly #client: BackendClient;
   readonly #callers: CallerServer;
-  readonly #leaving: LeavingServers;
+  readonly #leavingServers: LeavingServers;
   readonly #follower: ConfigurationFollower;
-  readonly #news: HostNews;
+  readonly #gossip: HostGossip;
   readonly #duties: HostDuties;
   #listening = { callers: "", readiness: "" };
   #membership: Membership | undefined;
@@ -176,7 +178,7 @@
     this.#quarantine = new Quarantine({
       ...ports,
       turn: (fingerprint) =>
-        this.#membership?.turn(fingerprint) ?? ONLY_HOST_TURN,
+        this.#membership?.turn(fingerprint) ?? SINGLE_HOST_POSITION,
       onStoredChange: () => this.#quarantineStore.changed(),
     });
     this.#quarantineStore = this.#ownership.own(
@@ -184,7 +186,7 @@
         ...ports,
         prefix: ports.quarantinePrefix,
         quarantine: this.#quarantine,
-        wallTime: () => this.#wallTime(),
+        wallTime: () => this.#fleetTime(),
       }),
     );
     this.#rollouts = new Rollouts(
@@ -197,7 +199,7 @@
           hosts: this.#membership?.size ?? 1,
         }),
         judge: () => new VersionJudge(),
-        onPromoting: () => this.#leaveVersionsSoon(),
+        onPromoting: () => this.#scheduleVersionCheck(),
         onUnknownVersion: () => this.#rolloutStore.unknownVersion(),
       },
       ports.clock.now(),
@@ -211,49 +213,49 @@
         holdsDuties: () => this.#duties.isHolder,
       }),
     );
-    this.#ownership.defer(() => this.#cancelLeaving());
-    const promptNews = new PromptNews(ports.clock, () =>
+    this.#ownership.defer(() => this.#cancelVersionCheck());
+    const promptUpdates = new PromptNews(ports.clock, () =>
       this.#membership?.tell(),
     );
-    this.#turns = new ServerTurns({
+    this.#permits = new ServerTurns({
       ...ports,
       host: settings.host,
       cautiousClock: this.#cautiousClock,
-      agreedTime: () => this.#wallTime(),
+      agreedTime: () => this.#fleetTime(),
       pace: () => PACE_BY_ROLE[this.#membership?.role ?? "direct"],
       hosts: () => this.#membership?.size ?? 1,
       server: (id) => this.#directory.get(id),
       ask: async (holder, request) =>
         this.#membership?.askTurn(holder, request),
-      tell: () => promptNews.came(),
+      tell: () => promptUpdates.came(),
     });
-    this.#leavingStatements = new LeavingStatements({
+    this.#leavingAdvertisements = new LeavingStatements({
       ...ports,
       directory: this.#directory,
-      onNews: () => promptNews.came(),
+      onNews: () => promptUpdates.came(),
     });
-    const rests = new RestStatements({
+    const backOffs = new RestStatements({
       ...ports,
       hosts: () => this.#membership?.size ?? 1,
       holdMilliseconds: (service) => this.#holdTimes.of(service),
     });
-    this.#statements = new StatementReader({
+    this.#advertisements = new StatementReader({
       ...ports,
       handlers: {
         limit: {
           holdsLate: false,
-          take: (record, perSecond) => this.#turns.read(record, perSecond),
+          take: (record, perSecond) => this.#permits.read(record, perSecond),
         },
         leaving: {
           holdsLate: true,
           take: (record, leaves) => {
-            if (leaves !== undefined) this.#leavingStatements.read(record);
+            if (leaves !== undefined) this.#leavingAdvertisements.read(record);
           },
         },
         rest: {
           holdsLate: false,
           take: (record, milliseconds) => {
-            if (milliseconds !== undefined) rests.read(record, milliseconds);
+            if (milliseconds !== undefined) backOffs.read(record, milliseconds);
           },
         },
       },
@@ -262,9 +264,9 @@
     this.#meter = new LoadMeter(ports.clock);
     this.#client = this.#ownership.own(new BackendClient());
     this.#callers = new CallerServer(this.#requestContext());
-    this.#leaving = new LeavingServers(this.#callers, {
+    this.#leavingServers = new LeavingServers(this.#callers, {
       ...ports,
-      statements: this.#statements,
+      statements: this.#advertisements,
       drainMilliseconds: bounds.drainMilliseconds,
     });
     this.#duties = this.#ownership.own(
@@ -276,14 +278,14 @@
         usageWindowMilliseconds: bounds.usageWindowMilliseconds,
         leaseMilliseconds: bounds.leaseMilliseconds,
         directory: this.#directory,
-        agreedWallTime: () => this.#wallTime(),
+        agreedWallTime: () => this.#fleetTime(),
         isTimeSettled: () => this.#membership?.isTimeSettled === true,
         rollouts: this.#rollouts,
         rolloutStore: this.#rolloutStore,
         lives: () => this.#membership?.lives ?? [],
-        load: (service) => this.#news.load(service),
+        load: (service) => this.#gossip.load(service),
         holdMilliseconds: (service) => this.#holdTimes.of(service),
-        limitOf: (record) => this.#turns.limitOf(record),
+        limitOf: (record) => this.#permits.limitOf(record),
         idle: () => this.#meter.idle,
         routes: () =>
           this.#follower.serversListed ? this.#follower.routes : undefined,
@@ -298,10 +300,10 @@
       dispatches: this.#dispatches,
       quarantine: this.#quarantine,
       rollouts: this.#rollouts,
-      turns: this.#turns,
+      permits: this.#permits,
       runs: () => this.#callers.runs,
     });
-    this.#directory.onLeaving((record) => this.#serverLeaves(record));
+    this.#directory.onLeaving((record) => this.#serverLeaving(record));
     this.#follower = this.#ownership.own(
       new ConfigurationFollower(
         {
@@ -320,7 +322,7 @@
         },
       ),
     );
-    this.#news = new HostNews({
+    this.#gossip = new HostGossip({
       clock: ports.clock,
       directory: this.#directory,
       prefixes: this.#prefixes,
@@ -332,12 +334,13 @@
       follower: this.#follower,
       quarantine: this.#quarantine,
       rollouts: this.#rollouts,
-      turns: this.#turns,
-      leavingStatements: this.#leavingStatements,
-      turnHolders: () => this.#membership?.turnHolders ?? [],
-      wallTime: () => this.#wallTime(),
-      stopping: () => this.#life.state === "stopping",
-      askConfiguration: (relay) => this.#membership?.askConfiguration(relay),
+      permits: this.#permits,
+      leavingAdvertisements: this.#leavingAdvertisements,
+      permitHolders: () => this.#membership?.turnHolders ?? [],
+      fleetTime: () => this.#fleetTime(),
+      stopping: () => this.#lifecycle.state === "stopping",
+      requestConfiguration: (relay) =>
+        this.#membership?.askConfiguration(relay),
     });
   }
 
@@ -347,16 +350,16 @@
     ports: ServingPorts,
   ): Promise<ServingHost> {
     const host = new ServingHost(settings, ports);
-    await host.#open();
+    await host.#openParts();
     return host;
   }
 
-  /** Where the host listens, with the ports that the system chose. */
+  /** Addresses on which the host listens, with the ports that the system chose. */
   get addresses(): { readonly callers: string; readonly readiness: string } {
     return this.#listening;
   }
 
-  /** Takes over changed bounds; addresses and names stay as they are. */
+  /** Applies changed bounds; addresses and names stay as they are. */
   reconfigure(settings: ServingSettings): void {
     const { bounds } = settings;
     const before = this.#settings.bounds;
@@ -371,22 +374,22 @@
     });
   }
 
-  /** Ends planned: nothing in progress is cut off before the grace is over. */
+  /** Stops as planned: nothing is cut off before the grace period is over. */
   stop(): Promise<void> {
-    // A second order must not end before what the first one waits for.
-    this.#stopped ??= this.#stop();
-    return this.#stopped;
+    // A second call must not return before the stop that is in progress ends.
+    this.#stopping ??= this.#stop();
+    return this.#stopping;
   }
 
   async #stop(): Promise<void> {
-    if (!this.#life.handle({ type: "stop" })) return;
+    if (!this.#lifecycle.handle({ type: "stop" })) return;
     const { clock, logger } = this.#ports;
     const startedAt = clock.now();
-    this.#life.stopStartedAt = startedAt;
+    this.#lifecycle.stopStartedAt = startedAt;
     logger.info("stopping", { inProgress: this.#callers.inProgress });
     await this.#duties.release();
     this.#membership?.tell();
-    await untilIdle(this.#callers, clock, {
+    await waitUntilIdle(this.#callers, clock, {
       startedAt,
       graceMilliseconds: this.#settings.bounds.graceMilliseconds,
     });
@@ -395,10 +398,10 @@
       milliseconds: Math.round(clock.now() - startedAt),
       cutOff: this.#callers.inProgress,
     });
-    this.#life.handle({ type: "finished" });
+    this.#lifecycle.handle({ type: "finished" });
   }
 
-  /** Ends what is still in progress; each request leaves its line. */
+  /** Ends all requests in progress; each of them is logged. */
   cutOff(): void {
     this.#callers.runs.forEach((run) => run.cutOff());
   }
@@ -407,7 +410,7 @@
     await this.#ownership[Symbol.asyncDispose]();
   }
 
-  async #open(): Promise<void> {
+  async #openParts(): Promise<void> {
     const { addresses } = this.#settings;
     const ports = this.#ports;
     const readiness = this.#ownership.own(
@@ -444,22 +447,22 @@
         address: this.#settings.addresses.peers,
       },
       {
-        ownNews: (message) => this.#news.own(message),
-        stopping: () => this.#life.state === "stopping",
-        viewFor: (host) => this.#news.viewFor(host),
-        onNews: (news, age) => this.#news.heard(news, age),
-        onDigest: (digest) => this.#news.heardDigest(digest),
+        ownNews: (message) => this.#gossip.ownUpdate(message),
+        stopping: () => this.#lifecycle.state === "stopping",
+        viewFor: (host) => this.#gossip.viewFor(host),
+        onNews: (news, age) => this.#gossip.receiveUpdate(news, age),
+        onDigest: (digest) => this.#gossip.receiveDigest(digest),
         configuration: () => this.#follower.newestConfiguration(),
         onConfiguration: (changes) =>
-          this.#follower.configurationByRelay(changes),
+          this.#follower.receiveConfiguration(changes),
         onQuestion: (request) => this.#admission.decide(request),
-        onTurnQuestion: (request) => this.#turns.give(request),
+        onTurnQuestion: (request) => this.#permits.give(request),
         onUnused: (request) => this.#admission.giveBack(request),
         onListed: (hosts) => {
           this.#limits.hostsListed();
           hosts.forEach((host) => {
             this.#limits.expected(host, this.#ports.clock.now());
-            this.#turns.expected(host);
+            this.#permits.expected(host);
           });
         },
       },
@@ -483,14 +486,14 @@
       readingRates: this.#readingRates,
       holdTimes: this.#holdTimes,
       arrivalRates: this.#arrivalRates,
-      places: this.#places,
+      places: this.#slotTotals,
       admission: this.#admission,
       budget: this.#budget,
       quarantine: this.#quarantine,
       rollouts: this.#rollouts,
-      turns: this.#turns,
-      restWaits: this.#restWaits,
-      statements: this.#statements,
+      turns: this.#permits,
+      restWaits: this.#backOffWaits,
+      statements: this.#advertisements,
       configuration: () => ({
         routes: this.#follower.routes,
         ageMilliseconds: this.#follower.age,
@@ -503,9 +506,9 @@
         newsLagMilliseconds(this.#membership?.role ?? "direct"),
       hearsDispatches: () => (this.#membership?.role ?? "direct") === "direct",
       startsRequests: () => this.#startsRequests(),
-      endsConnections: () => this.#life.state === "stopping",
+      endsConnections: () => this.#lifecycle.state === "stopping",
       began: (workspace) =>
-        this.#duties.usage.began(workspace, this.#wallTime()),
+        this.#duties.usage.began(workspace, this.#fleetTime()),
       dispatched: ({ entry }, dispatch) => {
         this.#dispatches.add(entry, dispatch.parts);
         this.#meter.read(dispatch.service, dispatch.unreadTokens);
@@ -514,7 +517,7 @@
   }
 
   #startsRequests(): boolean {
-    const { stopStartedAt } = this.#life;
+    const { stopStartedAt } = this.#lifecycle;
     return (
       stopStartedAt === undefined ||
       this.#ports.clock.now() - stopStartedAt < STOP_INTAKE_MILLISECONDS
@@ -526,29 +529,30 @@
     if (this.#follower.routes === undefined) return false;
     return (
       !bounds.keysNeedConfirmation ||
-      this.#follower.age < bounds.keyRemovalMilliseconds * TRUSTED_SHARE
+      this.#follower.age <
+        bounds.keyRemovalMilliseconds * TRUSTED_CONFIRMATION_AGE_SHARE
     );
   }
 
   #ready(): boolean {
     return (
-      this.#life.state === "serving" &&
+      this.#lifecycle.state === "serving" &&
       this.#follower.serversListed &&
       this.#keysTrusted() &&
       !this.#follower.cutOff
     );
   }
 
-  #wallTime(): number {
+  #fleetTime(): number {
     return this.#membership?.agreedWallTime() ?? this.#ports.wallTime();
   }
 
-  #serverLeaves(record: ServerRecord): void {
-    void this.#leaving.left(record);
+  #serverLeaving(record: ServerRecord): void {
+    void this.#leavingServers.left(record);
     const { entry } = record;
     const announced = this.#directory.get(entry.id) === record;
     if (!entry.reclaimable || !announced) return;
-    const left = this.#directory
+    const remaining = this.#directory
       .of(entry.service)
       .filter(
         (other) =>
@@ -556,22 +560,23 @@
           other.entry.reclaimable &&
           other.entry.dataHall === entry.dataHall,
       ).length;
-    this.#duties.reclaimableLeaves(entry.service, entry.dataHall, left);
+    this.#duties.reclaimableLeaves(entry.service, entry.dataHall, remaining);
   }
 
-  /** Moves runs away from versions that are left, and tells when that is done. */
-  #leaveVersions(): void {
+  /** Migrates runs away from versions that are left, and broadcasts when done. */
+  #vacateVersions(): void {
     const now = this.#ports.clock.now();
-    this.#leaving.leave((record) => this.#rollouts.isLeft(record, now));
+    this.#leavingServers.leave((record) => this.#rollouts.isLeft(record, now));
     const { goesOn, isNews } = this.#rollouts.leaving(now);
     if (isNews) this.#membership?.tell();
-    if (goesOn) this.#leaveVersionsSoon();
+    if (goesOn) this.#scheduleVersionCheck();
   }
 
-  #leaveVersionsSoon(): void {
-    this.#cancelLeaving();
-    this.#cancelLeaving = this.#ports.clock.after(LEAVING_MILLISECONDS, () =>
-      this.#leaveVersions(),
+  #scheduleVersionCheck(): void {
+    this.#cancelVersionCheck();
+    this.#cancelVersionCheck = this.#ports.clock.after(
+      VERSION_CHECK_INTERVAL_MILLISECONDS,
+      () => this.#vacateVersions(),
     );
   }
 
@@ -579,7 +584,7 @@
     const { configuration } = routes;
     this.#limits.configure(configuration.workspaces, this.#ports.clock.now());
     this.#callers.limit(configuration.callerLimits);
-    if (this.#life.handle({ type: "prepared" })) {
+    if (this.#lifecycle.handle({ type: "prepared" })) {
       this.#ports.logger.info("serving", { version: configuration.version });
     }
   }
--- a/packages/rampswitch-serving/src/serving_lifecycle.ts
+++ b/packages/rampswitch-serving/src/serving_lifecycle.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The life of a serving process, as a state machine.
+ * The lifecycle of a serving process, as a state machine.
  *
  * @module
  */
@@ -12,16 +12,16 @@
   transition,
 } from "xstate";
 
-/** What happens to a serving process. */
+/** Events in the lifecycle of a serving process. */
 export type ServingEvent =
-  /** A configuration is known. */
+  /** The first configuration was applied. */
   | { readonly type: "prepared" }
-  /** A planned stop was asked for. */
+  /** A planned stop was requested. */
   | { readonly type: "stop" }
-  /** All work has ended, or the time for it is over. */
+  /** All work has ended, or the grace period is over. */
   | { readonly type: "finished" };
 
-/** The machine of a serving process. */
+/** The state machine of a serving process. */
 export const SERVING_MACHINE = setup({
   types: { events: {} as ServingEvent },
 }).createMachine({
@@ -38,9 +38,9 @@
 /** States of {@link SERVING_MACHINE}. */
 export type ServingState = "starting" | "serving" | "stopping" | "stopped";
 
-/** The life of this process. */
-export class ServingLife {
-  /** When a planned stop began, on the steady clock. */
+/** Tracks the lifecycle of this process. */
+export class ServingLifecycle {
+  /** When a planned stop began, on the monotonic clock. */
   stopStartedAt: number | undefined;
   #snapshot: SnapshotFrom<typeof SERVING_MACHINE>;
 
@@ -48,12 +48,12 @@
     [this.#snapshot] = initialTransition(SERVING_MACHINE);
   }
 
-  /** The state at the last event. */
+  /** The state after the last event. */
   get state(): ServingState {
     return this.#snapshot.value;
   }
 
-  /** Takes in an event; tells whether the state changed. */
+  /** Handles an event; returns whether the state changed. */
   handle(event: ServingEvent): boolean {
     const before = this.state;
     [this.#snapshot] = transition(SERVING_MACHINE, this.#snapshot, event);
--- a/packages/rampswitch-serving/src/serving_settings.ts
+++ b/packages/rampswitch-serving/src/serving_settings.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Settings of a serving host, whatever file they came from.
+ * Settings of a serving host, independent of the file that they are read from.
  *
  * @module
  */
@@ -9,36 +9,42 @@
 import type { LimitTolerance, ResendTerms } from "./admission/mod.ts";
 import type { ExposureTerms } from "./rollout/mod.ts";
 
-/** Bounds that the deployment sets, in the unit that each name says. */
+/** Bounds that the deployment sets; the unit is part of each name. */
 export interface ServingBounds {
-  /** Time from a planned stop to the forced end. */
+  /** Time from a planned stop to the forced end of the process. */
   readonly graceMilliseconds: number;
-  /** Time that a leaving backend server serves on, where it tells none. */
+  /** Time for which a leaving backend server still serves, unless it reports one. */
   readonly drainMilliseconds: number;
-  /** Whether keys that were taken away must stop to work within a bound. */
+  /** Whether removed keys must stop working within a bound. */
   readonly keysNeedConfirmation: boolean;
-  /** The bound on keys that were taken away. */
+  /** Time after which a removed key must not work any more. */
   readonly keyRemovalMilliseconds: number;
+  /** Resends that are allowed, as a share of the requests in a window. */
   readonly resendShare: number;
+  /** Window of the budget of resends. */
   readonly resendWindowMilliseconds: number;
+  /** Resends that are allowed in addition in each window. */
   readonly resendAllowance: number;
-  /** Window over which limits of workspaces are judged. */
+  /** Window over which limits of workspaces are evaluated. */
   readonly limitWindowMilliseconds: number;
   /** Share above a workspace's limit that is tolerated in a window. */
   readonly limitOverShare: number;
-  /** Tokens above it that are tolerated in a window. */
+  /** Tokens that are tolerated in addition in a window. */
   readonly limitSlackTokens: number;
   /** Window of usage reports. */
   readonly usageWindowMilliseconds: number;
-  /** Shortest time between acts of one holder, another, and the first again. */
+  /**
+   * Shortest time in which one holder of the lease may act, then another, and then
+   * the first again.
+   */
   readonly leaseMilliseconds: number;
-  /** Share of a service's requests that a version may get before it is judged. */
+  /** Share of a service's requests that a version may get before its evaluation. */
   readonly exposureShare: number;
-  /** Requests that it may get beside, over the whole fleet. */
+  /** Requests that it may get in addition, over the whole fleet. */
   readonly exposureSlack: number;
 }
 
-/** What is tolerated above the workspaces' limits. */
+/** The tolerated excess over the limits of workspaces. */
 export function limitTolerance(bounds: ServingBounds): LimitTolerance {
   return {
     slackTokens: bounds.limitSlackTokens,
@@ -47,7 +53,7 @@
   };
 }
 
-/** Terms of the fleet's budget of repeated sends. */
+/** Terms of the fleet's budget of resends. */
 export function resendTerms(bounds: ServingBounds): ResendTerms {
   return {
     share: bounds.resendShare,
@@ -56,12 +62,12 @@
   };
 }
 
-/** Terms under which a version that nobody has judged gets requests. */
+/** Terms under which a version that was not evaluated gets requests. */
 export function exposureTerms(bounds: ServingBounds): ExposureTerms {
   return { share: bounds.exposureShare, slack: bounds.exposureSlack };
 }
 
-/** Bounds that take effect at the next start alone. */
+/** Bounds that take effect only at the next start. */
 export const BOUNDS_FIXED_AT_START = [
   "drainMilliseconds",
   "leaseMilliseconds",
@@ -72,7 +78,7 @@
 export interface ServingSettings {
   readonly host: string;
   readonly dataHall: string;
-  /** Processor share of this host, in cores. */
+  /** Processor capacity of this host, in cores. */
   readonly cores: number;
   /** All data halls of the region or regions. */
   readonly dataHalls: readonly string[];
