--- a/packages/rampswitch-serving/src/configuration/configuration_follower.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower.ts
@@ -356,8 +356,8 @@
    * one. While relays that reach the store confirm this host's configuration, it
    * does not query the store: a change of the configuration costs one call of
    * each relay instead of one of each host. A relay that has lost the store
-   * receives no change, so its hosts soon query the store themselves. When they
-   * relied on the age of its confirmation alone, they waited for 4.1 s.
+   * receives no change, so its hosts soon query the store themselves. Relying on
+   * the age of its confirmation alone, they would wait for 4.1 s.
    */
   receiveRelayVersion(newestChange: number, reachesStore: boolean): boolean {
     if (this.#configuration.version === 0) return false;
