--- /dev/null
+++ b/packages/rampswitch-serving/src/host_gossip.ts
@@ -0,0 +1,274 @@
+// Copyright 2026 the rampswitch authors. Apache-2.0 license.
+
+/**
+ * Gossip of a host: builds the updates that it sends to its peers, and applies
+ * those that it receives.
+ *
+ * @module
+ */
+import type { Clock } from "rampswitch-utils";
+import type { AdmittedTotals, WorkspaceLimits } from "./admission/mod.ts";
+import type {
+  LeavingNews,
+  PrefixKnowledge,
+  ServerDirectory,
+} from "./choice/mod.ts";
+import type { ConfigurationFollower } from "./configuration/configuration_follower.ts";
+import type { HostDuties, ServiceLoad } from "./duties/mod.ts";
+import {
+  type FleetDigest,
+  type FleetView,
+  type HostRole,
+  type LeaseNews,
+  type OwnNews,
+  PACE_BY_ROLE,
+  type PeerNews,
+} from "./membership/mod.ts";
+import type { Quarantine, QuarantineNews } from "./quarantine/mod.ts";
+import type { Rollouts } from "./rollout/mod.ts";
+import type { LimitNews, ServerTurns, TurnNews } from "./server_limits/mod.ts";
+import type { LeavingStatements } from "./statements/mod.ts";
+import type { RecentDispatches } from "./relay/recent_dispatches.ts";
+import type { LoadMeter } from "./relay/load_meter.ts";
+import type { ReadingRates } from "./relay/reading_rates.ts";
+
+/** Sources and targets of updates. */
+export interface HostGossipParts {
+  /** A monotonic clock. */
+  readonly clock: Clock;
+  readonly directory: ServerDirectory;
+  readonly prefixes: PrefixKnowledge;
+  readonly limits: WorkspaceLimits;
+  readonly readingRates: ReadingRates;
+  readonly dispatches: RecentDispatches;
+  readonly meter: LoadMeter;
+  readonly duties: HostDuties;
+  readonly follower: ConfigurationFollower;
+  readonly quarantine: Quarantine;
+  readonly rollouts: Rollouts;
+  readonly permits: ServerTurns;
+  readonly leavingAdvertisements: LeavingStatements;
+  /** Hosts that may issue permits for limited servers. */
+  permitHolders(): readonly string[];
+  /** Fleet time, the time of day on which the hosts agree, in milliseconds. */
+  fleetTime(): number;
+  /** Whether this host is about to end. */
+  stopping(): boolean;
+  /** Requests the newest configuration from a relay. */
+  requestConfiguration(relay: string): void;
+}
+
+/** Builds and applies the updates of one host. */
+export class HostGossip {
+  readonly #parts: HostGossipParts;
+  /** Totals that this host reported, by the sequence number of the message. */
+  readonly #reportedTotals = new Map<number, AdmittedTotals>();
+  readonly #leases = new Map<string, ReceivedLease>();
+  /** Updates of this round, which a relay sends to each of its members. */
+  #quarantineUpdates: readonly QuarantineNews[] = [];
+  #leavingUpdates: readonly LeavingNews[] = [];
+  #limitUpdates: readonly LimitNews[] = [];
+
+  constructor(parts: HostGossipParts) {
+    this.#parts = parts;
+  }
+
+  /** Load of a service over all hosts; each call adds to the load's history. */
+  load(service: string): ServiceLoad {
+    return {
+      running: this.#parts.meter.meanRunning(
+        service,
+        this.#parts.directory.load(service, this.#parts.clock.now()),
+      ),
+      readTokensPerSecond: this.#parts.meter.readTokensPerSecond(service),
+      readingRate: this.#parts.readingRates.of(service),
+    };
+  }
+
+  /** The update for the message to the peers with this sequence number. */
+  ownUpdate(message: {
+    readonly sequence: number;
+    readonly role: HostRole;
+  }): OwnNews {
+    const { limits } = this.#parts;
+    limits.setPace(PACE_BY_ROLE[message.role]);
+    if (message.role !== "member") limits.followPeers();
+    this.#parts.follower.checkRelays();
+    this.#recordReported(message.sequence, limits.totals());
+    this.#quarantineUpdates = this.#parts.quarantine.news();
+    this.#leavingUpdates = this.#parts.leavingAdvertisements.news({
+      ownOnly: false,
+    });
+    this.#limitUpdates = this.#parts.permits.limits(this.#parts.clock.now());
+    this.#parts.duties.usage.forgetOld(this.#parts.fleetTime());
+    // Every host maintains the history of the load, so that it can take the duties.
+    this.#parts.follower.routes?.configuration.services.forEach(({ name }) =>
+      this.load(name),
+    );
+    return {
+      stopping: this.#parts.stopping(),
+      configurationVersion:
+        this.#parts.follower.routes?.configuration.version ?? 0,
+      configurationAge: this.#ownConfirmationAge(),
+      followed: this.#parts.follower.followed,
+      admitted: this.#parts.limits.totals(),
+      levels: limits.levels(this.#parts.clock.now()),
+      work: this.#parts.directory.ownWork(),
+      counts: this.#parts.duties.usage.own(this.#parts.fleetTime()),
+      // In a large fleet, hosts agree on servers by hash instead of dispatches.
+      dispatches:
+        message.role === "direct"
+          ? this.#parts.dispatches.take(this.#parts.clock.now())
+          : [],
+      readTokens: this.#parts.meter.ownReadTokens(),
+      lease: this.#parts.duties.lease,
+      quarantine: this.#quarantineUpdates,
+      rollouts: this.#parts.rollouts.news(this.#parts.clock.now()),
+      ...this.#permitUpdate(message.role),
+      leaving: this.#parts.leavingAdvertisements.news({
+        ownOnly: message.role !== "direct",
+      }),
+    };
+  }
+
+  #permitUpdate(role: HostRole): TurnNews {
+    const holders = this.#parts.permitHolders();
+    return this.#parts.permits.news({ holders, tellsAll: role === "direct" });
+  }
+
+  #recordReported(sequence: number, totals: AdmittedTotals): void {
+    this.#reportedTotals.set(sequence, totals);
+    this.#reportedTotals.delete(sequence - MAXIMUM_UNACKNOWLEDGED_MESSAGES);
+  }
+
+  /** The view of all other hosts to send to a host of this data hall. */
+  viewFor(host: string): FleetView {
+    const { limits, directory, follower, clock } = this.#parts;
+    const now = clock.now();
+    const own = this.#parts.duties.lease;
+    const received = [...this.#leases.values()]
+      .filter(
+        ({ receivedAt }) =>
+          now - receivedAt < LEASE_UPDATE_LIFETIME_MILLISECONDS,
+      )
+      .map(({ lease }) => lease);
+    return {
+      configurationVersion: follower.routes?.configuration.version ?? 0,
+      configurationAge: this.#ownConfirmationAge(),
+      followed: this.#parts.follower.followed,
+      // Before a relay has received the others' consumption, its levels are too high.
+      levels: limits.knowsLevels(now) ? limits.levels(now) : {},
+      silentShare: limits.silentShare(now),
+      work: directory.workBeside(host, now),
+      leases: own === undefined ? received : [own, ...received],
+      servers: follower.recentServers(),
+      quarantine: this.#quarantineUpdates,
+      rollouts: this.#parts.rollouts.word(now),
+      limits: this.#limitUpdates,
+      leaving: this.#leavingUpdates,
+    };
+  }
+
+  /** Applies a relay's digest of the whole fleet. */
+  receiveDigest(digest: FleetDigest): void {
+    const { directory, limits, clock } = this.#parts;
+    const now = clock.now();
+    if (digest.configurationAge !== undefined) {
+      this.#parts.follower.receiveRelayConfirmation(
+        digest.configurationVersion,
+        digest.configurationAge,
+      );
+    }
+    this.#parts.follower.serversByRelay(digest.servers);
+    const { configuration } = digest.followed;
+    const reachesStore = digest.servers !== undefined;
+    const isBehind = this.#parts.follower.receiveRelayVersion(
+      configuration,
+      reachesStore,
+    );
+    if (isBehind) this.#parts.requestConfiguration(digest.relay);
+    this.#parts.follower.receivePeerVersions(digest.followed);
+    directory.heardPeer(FLEET_SENDER, digest.work, now);
+    const acknowledged = this.#reportedTotals.get(digest.acknowledged);
+    if (acknowledged !== undefined) {
+      limits.followRelay({ ...digest, acknowledged }, now);
+    }
+    this.#parts.quarantine.heard(digest.quarantine);
+    this.#parts.rollouts.heard(digest.rollouts, { now });
+    this.#parts.permits.heardLimits(digest.limits, 0);
+    this.#parts.leavingAdvertisements.heard(digest.leaving, 0);
+    digest.leases.forEach((lease) => this.#parts.duties.heard(lease));
+  }
+
+  #ownConfirmationAge(): number | undefined {
+    const { age } = this.#parts.follower;
+    return Number.isFinite(age) ? age : undefined;
+  }
+
+  /** Applies a peer's update that was sent `age` milliseconds ago. */
+  receiveUpdate(update: PeerNews, age: number): void {
+    const now = this.#parts.clock.now();
+    if (update.configurationAge !== undefined) {
+      this.#parts.follower.receivePeerConfirmation(
+        update.configurationVersion,
+        update.configurationAge,
+      );
+    }
+    this.#parts.follower.receivePeerVersions(update.followed);
+    this.#parts.directory.heardPeer(update.host, update.work, now);
+    this.#parts.leavingAdvertisements.heard(update.leaving, age);
+    this.#parts.permits.heard(update.host, update, age);
+    this.#parts.limits.heard(
+      update.host,
+      {
+        incarnation: update.incarnation,
+        totals: update.admitted,
+        levels: update.levels,
+        stopping: update.stopping,
+      },
+      now,
+    );
+    this.#parts.quarantine.heard(update.quarantine);
+    this.#parts.rollouts.heard(update.rollouts, {
+      life: `${update.host}/${update.incarnation}`,
+      now,
+    });
+    this.#parts.duties.usage.heard(
+      update.host,
+      update.incarnation,
+      update.counts,
+    );
+    this.#parts.meter.heard(
+      `${update.host}/${update.incarnation}`,
+      update.readTokens,
+    );
+    update.dispatches.forEach(({ server, born, parts }) => {
+      const record = this.#parts.directory.get(server);
+      if (record === undefined || !record.isLife(born)) return;
+      const engine = this.#parts.follower.routes?.service(
+        record.entry.service,
+      )?.engine;
+      if (engine === undefined) return;
+      this.#parts.prefixes.stored(server, parts, engine.memoryTokens);
+    });
+    if (update.lease !== undefined) {
+      this.#leases.set(update.host, { lease: update.lease, receivedAt: now });
+      this.#parts.duties.heard(update.lease);
+    }
+  }
+}
+
+/** A peer's lease and when this host received it. */
+interface ReceivedLease {
+  readonly lease: LeaseNews;
+  readonly receivedAt: number;
+}
+
+/** Messages whose totals are stored until a relay acknowledges them. */
+const MAXIMUM_UNACKNOWLEDGED_MESSAGES = 16;
+
+/** Time for which a received lease is forwarded, in milliseconds. */
+const LEASE_UPDATE_LIFETIME_MILLISECONDS = 3_000;
+
+/** Sender's name under which the work of the whole fleet is stored. */
+const FLEET_SENDER = "(fleet)";
