--- a/packages/rampswitch-serving/src/rollout/exposure_budget.ts
+++ b/packages/rampswitch-serving/src/rollout/exposure_budget.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { ExposureTerms } from "./rollout_order.ts";
+import type { ExposureTerms } from "./rollout_spec.ts";
 
 /** This host's place in the fleet. */
 export interface FleetPlace {
--- a/packages/rampswitch-serving/src/rollout/mod.ts
+++ b/packages/rampswitch-serving/src/rollout/mod.ts
@@ -12,7 +12,7 @@
   RolloutOrders,
   StoredRollout,
   StoredRolloutState,
-} from "./rollout_order.ts";
+} from "./rollout_spec.ts";
 export type { RolloutNews, RolloutWork, SentRequest } from "./rollout.ts";
 export { type DueState, Rollouts, type VersionChoice } from "./rollouts.ts";
 export {
@@ -27,5 +27,5 @@
   type VersionEvidence,
   type VersionFault,
   VersionJudge,
-} from "./version_judge.ts";
+} from "./version_evaluator.ts";
 export { RolloutStore } from "./rollout_store.ts";
--- a/packages/rampswitch-serving/src/rollout/rollout.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout.ts
@@ -13,14 +13,14 @@
   RolloutOrder,
   RolloutPhase,
   StoredRolloutState,
-} from "./rollout_order.ts";
+} from "./rollout_spec.ts";
 import {
   sumOf,
   type VersionArm,
   type VersionCounts,
   withAnswer,
 } from "./version_counts.ts";
-import type { Judge, VersionEvidence, VersionFault } from "./version_judge.ts";
+import type { Judge, VersionEvidence, VersionFault } from "./version_evaluator.ts";
 
 /** What hosts tell each other of a roll-out. */
 export interface RolloutNews {
--- a/packages/rampswitch-serving/src/rollout/rollout_standin.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_standin.ts
@@ -9,7 +9,7 @@
 import { ServerDirectory } from "../choice/mod.ts";
 import { ServingMetrics } from "../observation/mod.ts";
 import { Rollouts } from "./rollouts.ts";
-import { VersionJudge } from "./version_judge.ts";
+import { VersionJudge } from "./version_evaluator.ts";
 
 /** Roll-outs of a host that is alone. */
 export function loneRollouts(directory = new ServerDirectory()): Rollouts {
--- a/packages/rampswitch-serving/src/rollout/rollout_store.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store.ts
@@ -17,7 +17,7 @@
 } from "rampswitch-utils";
 import { type ObjectStore, type StoredObject, Watcher } from "rampswitch-store";
 import type { ServingMetrics } from "../observation/mod.ts";
-import type { RolloutOrders } from "./rollout_order.ts";
+import type { RolloutOrders } from "./rollout_spec.ts";
 import type { DueState, Rollouts } from "./rollouts.ts";
 
 /** What the store of orders works with. */
--- a/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
@@ -5,7 +5,7 @@
 import { ManualClock, seededRandom, SILENT_LOGGER } from "rampswitch-utils";
 import type { ObjectStore, StoredObject, StoreError } from "rampswitch-store";
 import { ServingMetrics } from "../observation/mod.ts";
-import type { RolloutOrders, StoredRolloutState } from "./rollout_order.ts";
+import type { RolloutOrders, StoredRolloutState } from "./rollout_spec.ts";
 import { loneRollouts } from "./rollout_standin.ts";
 import { RolloutStore } from "./rollout_store.ts";
 import type { Rollouts } from "./rollouts.ts";
--- a/packages/rampswitch-serving/src/rollout/rollout_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
 import { Rollout, type RolloutNews, type RolloutView } from "./rollout.ts";
-import type { Judge, VersionFault } from "./version_judge.ts";
+import type { Judge, VersionFault } from "./version_evaluator.ts";
 
 const ORDER = {
   service: "models",
--- a/packages/rampswitch-serving/src/rollout/rollouts.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts.ts
@@ -16,15 +16,15 @@
   type RolloutView,
   type SentRequest,
 } from "./rollout.ts";
-import { type LineParts, RolloutLines } from "./rollout_lines.ts";
+import { type LineParts, RolloutLines } from "./rollout_log.ts";
 import type {
   ExposureTerms,
   RolloutOrder,
   StoredRollout,
   StoredRolloutState,
-} from "./rollout_order.ts";
+} from "./rollout_spec.ts";
 import type { VersionArm } from "./version_counts.ts";
-import type { Judge } from "./version_judge.ts";
+import type { Judge } from "./version_evaluator.ts";
 import { canaryOf, ofMostServers } from "./version_servers.ts";
 
 /** What the roll-outs work with. */
--- a/packages/rampswitch-serving/src/rollout/rollouts_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts_test.ts
@@ -4,10 +4,10 @@
 import { SILENT_LOGGER } from "rampswitch-utils";
 import { ServerDirectory, type ServerRecord } from "../choice/mod.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import type { StoredRollout, StoredRolloutState } from "./rollout_order.ts";
+import type { StoredRollout, StoredRolloutState } from "./rollout_spec.ts";
 import type { RolloutNews } from "./rollout.ts";
 import { Rollouts } from "./rollouts.ts";
-import { VersionJudge } from "./version_judge.ts";
+import { VersionJudge } from "./version_evaluator.ts";
 
 const SERVICE = "models";
 const LATER = 60_000;
--- a/packages/rampswitch-serving/src/rollout/version_judge_test.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, test } from "@jest/globals";
 import { seededRandom } from "rampswitch-utils";
 import { type VersionCounts, withAnswer } from "./version_counts.ts";
-import { VersionJudge } from "./version_judge.ts";
+import { VersionJudge } from "./version_evaluator.ts";
 
 interface Played {
   readonly seed: number;
