--- a/packages/rampswitch-serving/src/rollout/change_detector.ts
+++ b/packages/rampswitch-serving/src/rollout/change_detector.ts
@@ -1,82 +1,91 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Detects that answers go wrong more often than they should, from any moment on: a
- * cumulative sum of likelihood ratios (Page's test), valid at each look. Pure but
- * for its own sums.
+ * Detects when answers start to go wrong more often than expected, at any time:
+ * a cumulative sum of log-likelihood ratios (Page's CUSUM test), which may be
+ * read after every observation. Pure apart from its sums.
  *
  * @module
  */
 
-/** Answers, and those among them that went wrong. */
+/**
+ * Answers as Bernoulli trials: their number, and how many of them went wrong.
+ */
 export interface Trials {
   readonly answers: number;
   readonly wrong: number;
 }
 
-/** Answers of one look, also by server. */
+/** The answers of one observation, in total and by server. */
 export interface ServerTrials extends Trials {
   readonly byServer: ReadonlyMap<string, Trials>;
 }
 
-/** Shares of wrong answers that are told apart. */
+/** The two shares of wrong answers between which a test decides. */
 export interface Hypotheses {
-  readonly usual: number;
-  readonly raised: number;
+  readonly expectedShare: number;
+  readonly raisedShare: number;
 }
 
-/** Logarithm of how much better the raised share explains the answers. */
+/** Log-likelihood ratio of the raised share to the expected one. */
 export function logLikelihoodRatio(
   { answers, wrong }: Trials,
-  { usual, raised }: Hypotheses,
+  { expectedShare, raisedShare }: Hypotheses,
 ): number {
   return (
-    wrong * Math.log(raised / usual) +
-    (answers - wrong) * Math.log((1 - raised) / (1 - usual))
+    wrong * Math.log(raisedShare / expectedShare) +
+    (answers - wrong) * Math.log((1 - raisedShare) / (1 - expectedShare))
   );
 }
 
-/** Stands for no server that is left out. */
-const NOBODY = "";
+/** Key of the sum that leaves out no server. */
+const NO_SERVER = "";
 
 /**
- * A detector for one raised share. One server that fails is that server's fault, so
- * that the others must tell of the change too.
+ * Detects a change to one raised share. A failing server is not a fault of its
+ * version, so one sum is kept without each server that had wrong answers: the
+ * change must also show in the answers of the others.
  */
 export class ChangeDetector {
-  /** Sums without one server each. */
-  readonly #sums = new Map<string, number>([[NOBODY, 0]]);
+  /** Cumulative sums by the server that each leaves out. */
+  readonly #sumsWithoutServer = new Map<string, number>([[NO_SERVER, 0]]);
   readonly #servers = new Set<string>();
 
-  /** Takes in the answers since the last look. */
+  /** Adds the answers since the last observation. */
   observe(trials: ServerTrials, hypotheses: Hypotheses): void {
-    const whole = this.#sums.get(NOBODY) ?? 0;
+    const sumOfAll = this.#sumsWithoutServer.get(NO_SERVER) ?? 0;
     trials.byServer.forEach(({ wrong }, server) => {
       this.#servers.add(server);
-      if (wrong > 0 && !this.#sums.has(server)) this.#sums.set(server, whole);
+      if (wrong > 0 && !this.#sumsWithoutServer.has(server))
+        this.#sumsWithoutServer.set(server, sumOfAll);
     });
-    [...this.#sums].forEach(([server, sum]) => {
-      const counted = without(trials, server);
-      const ratio = logLikelihoodRatio(counted, hypotheses);
-      this.#sums.set(server, Math.max(0, sum + ratio));
+    [...this.#sumsWithoutServer].forEach(([server, sum]) => {
+      const included = withoutServer(trials, server);
+      const ratio = logLikelihoodRatio(included, hypotheses);
+      this.#sumsWithoutServer.set(server, Math.max(0, sum + ratio));
     });
   }
 
   /** Evidence for a change, as a logarithm of odds. */
   get evidence(): number {
-    return this.#sums.get(NOBODY) ?? 0;
+    return this.#sumsWithoutServer.get(NO_SERVER) ?? 0;
   }
 
-  /** The same without the server that tells most of it; 0 where it is the only one. */
-  get evidenceOfOthers(): number {
-    return this.#servers.size > 1 ? Math.min(...this.#sums.values()) : 0;
+  /**
+   * The evidence without the server that contributes most of it; 0 if there is
+   * only one server.
+   */
+  get evidenceWithoutWorstServer(): number {
+    return this.#servers.size > 1
+      ? Math.min(...this.#sumsWithoutServer.values())
+      : 0;
   }
 }
 
-function without(trials: ServerTrials, server: string): Trials {
-  const left = trials.byServer.get(server);
+function withoutServer(trials: ServerTrials, server: string): Trials {
+  const excluded = trials.byServer.get(server);
   return {
-    answers: trials.answers - (left?.answers ?? 0),
-    wrong: trials.wrong - (left?.wrong ?? 0),
+    answers: trials.answers - (excluded?.answers ?? 0),
+    wrong: trials.wrong - (excluded?.wrong ?? 0),
   };
 }
--- a/packages/rampswitch-serving/src/rollout/exposure_budget_test.ts
+++ b/packages/rampswitch-serving/src/rollout/exposure_budget_test.ts
@@ -2,19 +2,22 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { ExposureBudget, slackOf } from "./exposure_budget.ts";
+import { ExposureBudget, slackOfHost } from "./exposure_budget.ts";
 
 const TERMS = { share: 0.1, slack: 50 };
 
-/** Sends as the budget decides; tells how many went to the target version. */
-function play(
+/**
+ * Sends requests of the given kinds, each to the version that the budget
+ * allows.
+ */
+function simulate(
   budget: ExposureBudget,
-  asked: readonly ("canary" | "all")[],
+  kinds: readonly ("canary" | "all")[],
 ): void {
-  asked.forEach((kind, index) => {
-    const canary = { share: 0.05, elapsedShare: index / asked.length };
-    budget.noteSent(
-      kind === "canary" ? budget.allowsCanary(canary) : budget.allows,
+  kinds.forEach((kind, index) => {
+    const canary = { share: 0.05, elapsedShare: index / kinds.length };
+    budget.recordSend(
+      kind === "canary" ? budget.allowsCanary(canary) : budget.allowsTarget,
     );
   });
 }
@@ -28,9 +31,9 @@
         }),
         fc.nat(20),
         fc.double({ min: 0, max: 0.99, noNaN: true }),
-        (asked, slack, phase) => {
-          const budget = new ExposureBudget(TERMS, { slack, phase });
-          play(budget, asked);
+        (kinds, slack, stagger) => {
+          const budget = new ExposureBudget(TERMS, { slack, stagger });
+          simulate(budget, kinds);
           expect(budget.sentToTarget).toBeLessThanOrEqual(
             TERMS.share * budget.sent + slack,
           );
@@ -40,21 +43,21 @@
   });
 
   test("leaves most of the share for the promotion", () => {
-    const budget = new ExposureBudget(TERMS, { slack: 0, phase: 0 });
-    play(
+    const budget = new ExposureBudget(TERMS, { slack: 0, stagger: 0 });
+    simulate(
       budget,
       Array.from({ length: 1_000 }, () => "canary" as const),
     );
     expect(budget.sentToTarget).toBe(50);
-    expect(Math.floor(budget.left)).toBe(55);
+    expect(Math.floor(budget.remainingTargetSends)).toBe(55);
   });
 
   test("spends its slack bit by bit", () => {
-    const budget = new ExposureBudget(TERMS, { slack: 8, phase: 0 });
+    const budget = new ExposureBudget(TERMS, { slack: 8, stagger: 0 });
     const first = { share: 0, elapsedShare: 0 };
     const sendAll = (canary: typeof first) => {
       const sent = budget.sentToTarget;
-      while (budget.allowsCanary(canary)) budget.noteSent(true);
+      while (budget.allowsCanary(canary)) budget.recordSend(true);
       return budget.sentToTarget - sent;
     };
     expect(sendAll(first)).toBe(4);
@@ -67,9 +70,9 @@
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 400 }), (hosts) => {
         const all = Array.from({ length: hosts }, (_, rank) =>
-          slackOf(TERMS, { rank, hosts }),
+          slackOfHost(TERMS, { rank, hosts }),
         );
-        const sum = all.reduce((total, one) => total + one, 0);
+        const sum = all.reduce((total, slack) => total + slack, 0);
         expect(sum).toBe(30);
         expect(sum).toBeLessThanOrEqual(TERMS.slack);
       }),
--- a/packages/rampswitch-serving/src/rollout/mod.ts
+++ b/packages/rampswitch-serving/src/rollout/mod.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Roll-outs: a service's traffic is moved onto servers of another version, judged
- * on the way, and taken back if the version is bad.
+ * Roll-outs: a service's traffic is shifted to servers of another version. The
+ * version is evaluated on the way, and rolled back if it is bad.
  *
  * @module
  */
@@ -13,7 +13,11 @@
   StoredRollout,
   StoredRolloutState,
 } from "./rollout_spec.ts";
-export type { RolloutNews, RolloutWork, SentRequest } from "./rollout.ts";
+export type {
+  RolloutNews,
+  RolloutProgress as RolloutWork,
+  SentRequest,
+} from "./rollout.ts";
 export { type DueState, Rollouts, type VersionChoice } from "./rollouts.ts";
 export {
   type CountedAnswers,
--- a/packages/rampswitch-serving/src/rollout/rollout.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One roll-out as one host knows it: which version a send goes to, how the answers
- * went, what the other hosts tell, and which step comes next. Decisions alone: time
- * is passed in, and whoever asks does the sending and the storing.
+ * The state of one roll-out on one host: which version a send goes to, how the
+ * answers went, what other hosts reported, and which phase comes next. It only
+ * decides: time is passed in, and the caller sends and stores.
  *
  * @module
  */
-import { type CanaryTerms, ExposureBudget } from "./exposure_budget.ts";
+import { type CanaryLimits, ExposureBudget } from "./exposure_budget.ts";
 import type {
   ExposureTerms,
   RolloutOrder,
@@ -20,32 +20,39 @@
   type VersionCounts,
   withAnswer,
 } from "./version_counts.ts";
-import type { Judge, VersionEvidence, VersionFault } from "./version_evaluator.ts";
+import type {
+  Judge,
+  VersionEvidence,
+  VersionFault,
+} from "./version_evaluator.ts";
 
-/** What hosts tell each other of a roll-out. */
+/** An update about a roll-out, sent between hosts by gossip. */
 export interface RolloutNews {
   readonly order: RolloutOrder;
-  /** Versions that the service's traffic is moved from. */
+  /** Versions that the service's traffic is shifted away from. */
   readonly baseline: readonly string[];
-  /** Newest version of the order in the store that the teller knows. */
+  /** Newest version of the spec's entry in the store that the sender knows. */
   readonly storeVersion: number;
-  /** Time that is left of the order's, in milliseconds; negative when it is over. */
+  /** Remaining time of the spec, in milliseconds; negative once it is over. */
   readonly remainingMilliseconds: number;
   readonly phase: RolloutPhase;
-  /** What a host tells of itself; relays tell none. */
-  readonly own: RolloutWork | undefined;
+  /** Progress of the sending host itself; `undefined` from relays. */
+  readonly own: RolloutProgress | undefined;
 }
 
-/** A host's own part in a roll-out. */
-export interface RolloutWork {
-  /** Whether no request of the host is or will be at servers of the baseline. */
+/** The progress of one host in a roll-out. */
+export interface RolloutProgress {
+  /**
+   * Whether the host has no request at servers of the baseline and will send
+   * none.
+   */
   readonly hasMoved: boolean;
   readonly counts: VersionCounts;
   /** Requests that wait for an answer of the target version, by time waited. */
   readonly waiting: VersionCounts;
 }
 
-/** A request that goes to a server of one of the versions. */
+/** A request that is sent to a server of one of the versions. */
 export interface VersionSend {
   readonly arm: VersionArm;
   readonly route: string;
@@ -53,41 +60,44 @@
   readonly sentAt: number;
 }
 
-/** What is told of a request that was sent. */
+/** Receives the outcome of a request that was sent. */
 export interface SentRequest {
-  /** Its answer began to come, or is a failure; counts once. */
+  /** The answer began to arrive or is a failure; only the first call counts. */
   answered(answer: { readonly failed: boolean; readonly now: number }): void;
-  /** It ended without an answer that tells of its version. */
+  /** The request ended without an answer that counts for its version. */
   ended(): void;
 }
 
-/** What a roll-out begins with at a host. */
-export interface RolloutStart {
-  readonly order: RolloutOrder;
+/** What a roll-out starts with on a host. */
+export interface RolloutOptions {
+  readonly spec: RolloutOrder;
   readonly baseline: readonly string[];
   readonly storeVersion: number;
   readonly remainingMilliseconds: number;
   readonly terms: ExposureTerms;
-  /** Requests beside the share that this host may send. */
+  /** Requests beyond the share that this host may send. */
   readonly slack: number;
-  /** Place of this host among all, 0 to 1. */
-  readonly phase: number;
-  readonly judge: Judge;
+  /**
+   * Position of this host among all hosts, from 0 to 1. Staggers the use of the
+   * slack.
+   */
+  readonly stagger: number;
+  readonly evaluator: Judge;
   readonly now: number;
 }
 
-/** Servers of both versions and the fleet, as the holder of the duties sees them. */
+/** Servers of both versions and other hosts, as the duty holder sees them. */
 export interface RolloutView {
   readonly now: number;
-  /** Servers of each version that take requests. */
+  /** Number of servers of each version that take requests. */
   readonly ready: Readonly<Record<VersionArm, number>>;
-  /** Lives of the hosts that are present, but for this one. */
+  /** Incarnations of the other hosts that are present. */
   readonly peers: readonly string[];
-  /** Own requests at servers of the baseline. */
+  /** Number of this host's requests at servers of the baseline. */
   readonly running: number;
 }
 
-/** Why a roll-out went on to its phase. */
+/** Why a roll-out entered its phase. */
 export type RolloutReason =
   | "order"
   | "judged_good"
@@ -102,37 +112,47 @@
   | "withdrawn";
 
 /**
- * Time before the end of an order in which all hosts send everything to the target
- * version, in milliseconds: moves of runs, and two rounds of news. As much as the
- * exposure may carry, within bounds.
+ * Bounds of the length of the promotion, in milliseconds: the end of the spec's
+ * time, in which all hosts send every request to the target version. It has to
+ * cover the migration of runs and two rounds of gossip. Within the bounds it is
+ * as long as the exposure allows.
  */
-const LEAST_PROMOTION_MILLISECONDS = 1_200;
-const MOST_PROMOTION_MILLISECONDS = 2_500;
+const MINIMUM_PROMOTION_MILLISECONDS = 1_200;
+const MAXIMUM_PROMOTION_MILLISECONDS = 2_500;
 
-/** Part of the exposure's share that is kept for the promotion. */
-const PROMOTION_PART = 0.7;
+/** Share of the exposure that is reserved for the promotion. */
+const PROMOTION_EXPOSURE_SHARE = 0.7;
 
-/** Exposure kept for the promotion, for each request that is expected in it. */
-const SPARE_FACTOR = 1.15;
+/** Exposure reserved for each request that is expected during the promotion. */
+const PROMOTION_RESERVE_FACTOR = 1.15;
 
-/** Time before that for all hosts to hear of it, in milliseconds. */
-const ANNOUNCED_MILLISECONDS = 900;
+/**
+ * Time before the promotion in which it is announced to all hosts, in
+ * milliseconds.
+ */
+const PROMOTION_ANNOUNCEMENT_MILLISECONDS = 900;
 
-/** Requests beyond the expected ones that a host keeps its exposure for. */
-const SPARE_REQUESTS = 1;
+/** Requests beyond the expected ones that a host reserves exposure for. */
+const RESERVE_REQUESTS = 1;
 
-/** Bounds of the share that a canary gets. */
-const LEAST_CANARY_SHARE = 0.015;
-const MOST_CANARY_SHARE = 0.06;
+/** Bounds of the share of requests that a canary gets. */
+const MINIMUM_CANARY_SHARE = 0.015;
+const MAXIMUM_CANARY_SHARE = 0.06;
 
-/** Share of the baseline's servers that the target version must have ready. */
-const CARRYING_SHARE = 0.8;
+/**
+ * Number of ready servers that the target version needs, as a share of the
+ * baseline's.
+ */
+const MINIMUM_TARGET_SERVER_SHARE = 0.8;
 
-/** A version that nobody could judge is given up after this time, in milliseconds. */
-const LEAST_OVERTIME_MILLISECONDS = 30_000;
+/**
+ * Minimum time after the deadline until a version that could not be evaluated
+ * is rolled back, in milliseconds.
+ */
+const MINIMUM_OVERTIME_MILLISECONDS = 30_000;
 
-/** Phases that no news but a later step changes. */
-const RANKS: Readonly<Record<RolloutPhase, number>> = {
+/** Order of the phases; a roll-out never returns to an earlier one. */
+const PHASE_RANKS: Readonly<Record<RolloutPhase, number>> = {
   canary: 0,
   promoting: 1,
   rolled_back: 2,
@@ -145,13 +165,13 @@
   rolled_back: "rolled_back",
 };
 
-/** One roll-out at one host. */
+/** One roll-out on one host. */
 export class Rollout {
-  readonly order: RolloutOrder;
+  readonly spec: RolloutOrder;
   readonly baseline: readonly string[];
   readonly deadlineAt: number;
   readonly budget: ExposureBudget;
-  readonly #judge: Judge;
+  readonly #evaluator: Judge;
   readonly #terms: ExposureTerms;
   readonly #peers = new Map<string, RolloutNews>();
   readonly #waiting = new Set<VersionSend>();
@@ -160,54 +180,57 @@
   #phase: RolloutPhase = "canary";
   #reason: RolloutReason = "order";
   #counts: VersionCounts = {};
-  /** Whether this host sends nothing more to the baseline unless it is rolled back. */
-  #isCommitted = false;
+  /**
+   * Whether this host sends nothing more to the baseline, except after a
+   * rollback.
+   */
+  #isCommittedToTarget = false;
   readonly #startedAt: number;
 
-  constructor(start: RolloutStart) {
-    this.order = start.order;
-    this.baseline = start.baseline;
-    this.deadlineAt = start.now + start.remainingMilliseconds;
-    this.budget = new ExposureBudget(start.terms, start);
-    this.#judge = start.judge;
-    this.#startedAt = start.now;
-    this.#terms = start.terms;
-    this.#storeVersion = start.storeVersion;
+  constructor(options: RolloutOptions) {
+    this.spec = options.spec;
+    this.baseline = options.baseline;
+    this.deadlineAt = options.now + options.remainingMilliseconds;
+    this.budget = new ExposureBudget(options.terms, options);
+    this.#evaluator = options.evaluator;
+    this.#startedAt = options.now;
+    this.#terms = options.terms;
+    this.#storeVersion = options.storeVersion;
   }
 
-  /** The step that this host has reached. */
+  /** The phase that this host has reached. */
   get phase(): RolloutPhase {
     return this.#phase;
   }
 
-  /** Why the step was taken. */
+  /** Why this host entered the phase. */
   get reason(): RolloutReason {
     return this.#reason;
   }
 
-  /** Whether nothing follows. */
+  /** Whether the roll-out was completed or rolled back. */
   get isOver(): boolean {
-    return RANKS[this.#phase] >= RANKS.rolled_back;
+    return PHASE_RANKS[this.#phase] >= PHASE_RANKS.rolled_back;
   }
 
-  /** What showed that the version is bad, if this host judged so. */
+  /** Why the version is bad, if this host's own evaluation found it. */
   get fault(): VersionFault | undefined {
-    return this.#judge.fault;
+    return this.#evaluator.fault;
   }
 
-  /** Newest version of the order in the store that is known. */
+  /** Newest known version of the spec's entry in the store. */
   get storeVersion(): number {
     return this.#storeVersion;
   }
 
-  /** What is known of the whole fleet's answers. */
+  /** The known answers of the whole fleet. */
   evidence(now: number): VersionEvidence {
-    const told = [...this.#peers.values()].flatMap(({ own }) => own ?? []);
+    const reported = [...this.#peers.values()].flatMap(({ own }) => own ?? []);
     return {
-      counts: sumOf([this.#counts, ...told.map(({ counts }) => counts)]),
+      counts: sumOf([this.#counts, ...reported.map(({ counts }) => counts)]),
       waiting: sumOf([
         this.#waitingAt(now),
-        ...told.map(({ waiting }) => waiting),
+        ...reported.map(({ waiting }) => waiting),
       ]),
     };
   }
@@ -226,25 +249,29 @@
     );
   }
 
-  /** Share of the requests that the canary gets; the rest is for the promotion. */
+  /**
+   * Share of the requests that the canary gets; the rest is reserved for the
+   * promotion.
+   */
   get share(): number {
     const { share } = this.#terms;
-    const promotion =
-      ((1 - share) * this.#promotionMilliseconds * SPARE_FACTOR) /
-      this.order.durationMilliseconds;
+    const reserved =
+      ((1 - share) * this.#promotionMilliseconds * PROMOTION_RESERVE_FACTOR) /
+      this.spec.durationMilliseconds;
     return Math.min(
-      Math.min(MOST_CANARY_SHARE, share),
-      Math.max(LEAST_CANARY_SHARE, share - promotion),
+      Math.min(MAXIMUM_CANARY_SHARE, share),
+      Math.max(MINIMUM_CANARY_SHARE, share - reserved),
     );
   }
 
   get #promotionMilliseconds(): number {
     const { share } = this.#terms;
-    const carried =
-      (PROMOTION_PART * share * this.order.durationMilliseconds) / (1 - share);
+    const supported =
+      (PROMOTION_EXPOSURE_SHARE * share * this.spec.durationMilliseconds) /
+      (1 - share);
     return Math.min(
-      MOST_PROMOTION_MILLISECONDS,
-      Math.max(LEAST_PROMOTION_MILLISECONDS, carried),
+      MAXIMUM_PROMOTION_MILLISECONDS,
+      Math.max(MINIMUM_PROMOTION_MILLISECONDS, supported),
     );
   }
 
@@ -252,98 +279,105 @@
     return this.budget.sent / Math.max(1_000, now - this.#startedAt);
   }
 
-  /** Which versions a version belongs to. */
+  /**
+   * The side of the roll-out that a version is on; `undefined` for other
+   * versions.
+   */
   armOf(version: string): VersionArm | undefined {
-    if (version === this.order.toVersion) return "target";
+    if (version === this.spec.toVersion) return "target";
     return this.baseline.includes(version) ? "baseline" : undefined;
   }
 
-  /** Versions that a send may go to, the better one first. */
-  arms(send: { readonly isFirst: boolean; readonly now: number }): {
+  /** Versions that a send may go to, the preferred one first. */
+  arms(request: { readonly isFirst: boolean; readonly now: number }): {
     readonly first: VersionArm | undefined;
-    readonly otherwise: VersionArm | undefined;
+    readonly fallback: VersionArm | undefined;
   } {
-    if (this.baseline.length === 0) return TARGET_ALONE;
+    if (this.baseline.length === 0) return TARGET_ONLY;
     return ARMS_BY_PHASE[this.#phase]({
-      isFirst: send.isFirst,
-      isCommitted: this.#commits(send.now),
-      isInTime: send.now < this.deadlineAt,
+      isFirst: request.isFirst,
+      isCommitted: this.#commitsToTarget(request.now),
+      isBeforeDeadline: request.now < this.deadlineAt,
       budget: this.budget,
       canary: {
-        // The exposure is bounded for the order's time alone.
-        share: send.now < this.deadlineAt ? this.share : this.#terms.share,
+        // The exposure is bounded only until the deadline.
+        share: request.now < this.deadlineAt ? this.share : this.#terms.share,
         elapsedShare:
-          (send.now - this.#startedAt) / this.order.durationMilliseconds,
+          (request.now - this.#startedAt) / this.spec.durationMilliseconds,
       },
     });
   }
 
-  /** Notes a send; returns what to tell of its answer. */
+  /** Counts a send; the returned object receives its outcome. */
   sent(send: VersionSend): SentRequest {
     const isTarget = send.arm === "target";
-    this.budget.noteSent(isTarget);
+    this.budget.recordSend(isTarget);
     if (isTarget && !this.isOver) this.#waiting.add(send);
-    let isOpen = true;
-    const close = () => {
+    let isPending = true;
+    const settle = () => {
       this.#waiting.delete(send);
-      const wasOpen = isOpen && !this.isOver;
-      isOpen = false;
-      return wasOpen;
+      const counts = isPending && !this.isOver;
+      isPending = false;
+      return counts;
     };
     return {
       answered: ({ failed, now }) => {
-        if (!close()) return;
+        if (!settle()) return;
         const milliseconds = now - send.sentAt;
         const answer = { ...send, failed, milliseconds };
         this.#counts = withAnswer(this.#counts, answer);
       },
-      ended: () => void close(),
+      ended: () => void settle(),
     };
   }
 
-  /** Judges what is known; each host stops by itself. */
-  look(now: number): void {
+  /** Evaluates the known answers. Each host rolls back on its own finding. */
+  evaluate(now: number): void {
     if (this.isOver) return;
-    this.#judge.observe(this.evidence(now));
-    if (this.#judge.fault !== undefined) this.#go("rolled_back", "judged_bad");
+    this.#evaluator.observe(this.evidence(now));
+    if (this.#evaluator.fault !== undefined)
+      this.#advanceTo("rolled_back", "judged_bad");
   }
 
-  /** Takes in what another host tells; `life` names its process. */
-  heard(news: RolloutNews, life: string | undefined): void {
-    if (news.order.toVersion !== this.order.toVersion) return;
-    if (life !== undefined) this.#peers.set(life, news);
-    this.#storeVersion = Math.max(this.#storeVersion, news.storeVersion);
-    this.#go(news.phase, "told");
+  /**
+   * Applies an update of another host; `incarnation` is `undefined` for relays.
+   */
+  receive(update: RolloutNews, incarnation: string | undefined): void {
+    if (update.order.toVersion !== this.spec.toVersion) return;
+    if (incarnation !== undefined) this.#peers.set(incarnation, update);
+    this.#storeVersion = Math.max(this.#storeVersion, update.storeVersion);
+    this.#advanceTo(update.phase, "told");
   }
 
-  /** Takes in the state that the store has, as of one of its versions. */
+  /** Applies the stored state, as of a version of the spec's entry. */
   stored(state: StoredRolloutState | undefined, storeVersion: number): void {
     if (storeVersion < this.#storeVersion) return;
     this.#storeVersion = storeVersion;
     this.#stored = state;
-    if (state !== undefined) this.#go(PHASE_BY_STATE[state], "stored");
+    if (state !== undefined) this.#advanceTo(PHASE_BY_STATE[state], "stored");
   }
 
-  /** Ends the roll-out without the target version. */
-  giveUp(reason: RolloutReason): void {
-    this.#go("rolled_back", reason);
+  /** Ends the roll-out and keeps the baseline. */
+  rollBack(reason: RolloutReason): void {
+    this.#advanceTo("rolled_back", reason);
   }
 
-  /** Other hosts that told to have left the baseline. */
-  get peersMoved(): number {
-    return [...this.#peers.keys()].filter((life) => this.#hasMoved(life))
-      .length;
+  /** Number of other hosts that reported to have left the baseline. */
+  get peersOffBaseline(): number {
+    return [...this.#peers.keys()].filter((incarnation) =>
+      this.#hasPeerLeftBaseline(incarnation),
+    ).length;
   }
 
-  /** Whether this host has left the baseline, and will not go back. */
-  hasMoved(now: number, running: number): boolean {
-    return this.#commits(now) && running === 0;
+  /** Whether this host has left the baseline and will not return to it. */
+  hasLeftBaseline(now: number, running: number): boolean {
+    return this.#commitsToTarget(now) && running === 0;
   }
 
-  /** What to tell the other hosts. */
-  news(now: number, running: number | undefined): RolloutNews {
+  /** The update for other hosts; `running` is `undefined` on relays. */
+  updateFor(now: number, running: number | undefined): RolloutNews {
     return {
-      order: this.order,
+      order: this.spec,
       baseline: this.baseline,
       storeVersion: this.#storeVersion,
       remainingMilliseconds: this.deadlineAt - now,
@@ -352,7 +386,7 @@
         running === undefined
           ? undefined
           : {
-              hasMoved: this.hasMoved(now, running),
+              hasMoved: this.hasLeftBaseline(now, running),
               counts: this.#counts,
               waiting: this.#waitingAt(now),
             },
@@ -360,121 +394,141 @@
   }
 
   /**
-   * Whether this host sends everything to the target version from now on: as soon
-   * as its exposure carries what is expected until the end.
+   * Whether this host sends every request to the target version from now on. It
+   * commits once its exposure covers the requests expected until the deadline.
    */
-  #commits(now: number): boolean {
-    const left = Math.max(0, this.deadlineAt - now);
-    if (this.#phase !== "promoting" || left > this.#promotionMilliseconds) {
+  #commitsToTarget(now: number): boolean {
+    const remaining = Math.max(0, this.deadlineAt - now);
+    if (
+      this.#phase !== "promoting" ||
+      remaining > this.#promotionMilliseconds
+    ) {
       return false;
     }
-    const expected = left * this.#requestsPerMillisecond(now) + SPARE_REQUESTS;
-    this.#isCommitted ||= left === 0 || this.budget.left >= expected;
-    return this.#isCommitted;
+    const expected =
+      remaining * this.#requestsPerMillisecond(now) + RESERVE_REQUESTS;
+    this.#isCommittedToTarget ||=
+      remaining === 0 || this.budget.remainingTargetSends >= expected;
+    return this.#isCommittedToTarget;
   }
 
   /**
-   * The state that the holder of the duties is to store now; `undefined` for none.
-   * Takes the steps that only the holder takes.
+   * The state that the duty holder has to store now; `undefined` if none. Takes
+   * the steps that are reserved for the duty holder.
    */
   dueState(view: RolloutView): StoredRolloutState | undefined {
-    if (!this.isOver) this.#advance(view);
+    if (!this.isOver) this.#advanceAsHolder(view);
     const due = this.#dueState(view);
     return due === this.#stored ? undefined : due;
   }
 
   #dueState(view: RolloutView): StoredRolloutState {
-    if (this.#phase === "completed" || this.#mayComplete(view)) {
+    if (this.#phase === "completed" || this.#canComplete(view)) {
       return "completed";
     }
     return this.#phase === "rolled_back" ? "rolled_back" : "running";
   }
 
-  #advance(view: RolloutView): void {
+  #advanceAsHolder(view: RolloutView): void {
     const overtime = view.now - this.deadlineAt;
-    const patience = Math.max(
-      LEAST_OVERTIME_MILLISECONDS,
-      this.order.durationMilliseconds,
+    const maximumOvertime = Math.max(
+      MINIMUM_OVERTIME_MILLISECONDS,
+      this.spec.durationMilliseconds,
     );
-    if (overtime > 0 && view.ready.target === 0) this.giveUp("no_servers");
-    else if (overtime > patience) this.giveUp("not_judged");
+    if (overtime > 0 && view.ready.target === 0) this.rollBack("no_servers");
+    else if (overtime > maximumOvertime) this.rollBack("not_judged");
     else if (this.baseline.length === 0) {
-      if (view.ready.target > 0) this.#go("promoting", "nothing_to_move");
-    } else if (this.#mayPromote(view)) this.#go("promoting", "judged_good");
+      if (view.ready.target > 0)
+        this.#advanceTo("promoting", "nothing_to_move");
+    } else if (this.#canPromote(view))
+      this.#advanceTo("promoting", "judged_good");
   }
 
-  #mayPromote(view: RolloutView): boolean {
+  #canPromote(view: RolloutView): boolean {
     return (
       view.now >=
         this.deadlineAt -
           this.#promotionMilliseconds -
-          ANNOUNCED_MILLISECONDS &&
-      this.#carries(view) &&
-      this.#judge.allows("promotion")
+          PROMOTION_ANNOUNCEMENT_MILLISECONDS &&
+      this.#hasTargetCapacity(view) &&
+      this.#evaluator.allows("promotion")
     );
   }
 
-  /** The baseline's servers end at once, so none may have a request left. */
-  #mayComplete(view: RolloutView): boolean {
+  /**
+   * Completion ends the baseline's servers at once, so no request may remain at
+   * one.
+   */
+  #canComplete(view: RolloutView): boolean {
     return (
       this.#phase === "promoting" &&
-      this.#carries(view) &&
-      this.hasMoved(view.now, view.running) &&
-      view.peers.every((life) => this.#hasMoved(life)) &&
-      (this.baseline.length === 0 || this.#judge.allows("completion"))
+      this.#hasTargetCapacity(view) &&
+      this.hasLeftBaseline(view.now, view.running) &&
+      view.peers.every((incarnation) =>
+        this.#hasPeerLeftBaseline(incarnation),
+      ) &&
+      (this.baseline.length === 0 || this.#evaluator.allows("completion"))
     );
   }
 
-  #hasMoved(life: string): boolean {
-    const told = this.#peers.get(life);
-    return told?.phase === "promoting" && told.own?.hasMoved === true;
+  #hasPeerLeftBaseline(incarnation: string): boolean {
+    const reported = this.#peers.get(incarnation);
+    return reported?.phase === "promoting" && reported.own?.hasMoved === true;
   }
 
-  #carries({ ready }: RolloutView): boolean {
-    return ready.target > 0 && ready.target >= ready.baseline * CARRYING_SHARE;
+  #hasTargetCapacity({ ready }: RolloutView): boolean {
+    return (
+      ready.target > 0 &&
+      ready.target >= ready.baseline * MINIMUM_TARGET_SERVER_SHARE
+    );
   }
 
-  #go(phase: RolloutPhase, reason: RolloutReason): void {
-    if (RANKS[phase] <= RANKS[this.#phase]) return;
+  #advanceTo(phase: RolloutPhase, reason: RolloutReason): void {
+    if (PHASE_RANKS[phase] <= PHASE_RANKS[this.#phase]) return;
     this.#phase = phase;
     this.#reason = reason;
   }
 }
 
-interface SendTerms {
+interface ArmConditions {
   readonly isFirst: boolean;
   readonly isCommitted: boolean;
-  readonly isInTime: boolean;
+  readonly isBeforeDeadline: boolean;
   readonly budget: ExposureBudget;
-  readonly canary: CanaryTerms;
+  readonly canary: CanaryLimits;
 }
 
 type Arms = ReturnType<Rollout["arms"]>;
 
-const BASELINE_ALONE: Arms = { first: "baseline", otherwise: undefined };
-const TARGET_FIRST: Arms = { first: "target", otherwise: "baseline" };
-const TARGET_ALONE: Arms = { first: "target", otherwise: undefined };
-const NEITHER: Arms = { first: undefined, otherwise: undefined };
+const BASELINE_ONLY: Arms = { first: "baseline", fallback: undefined };
+const TARGET_FIRST: Arms = { first: "target", fallback: "baseline" };
+const TARGET_ONLY: Arms = { first: "target", fallback: undefined };
+const NO_ARM: Arms = { first: undefined, fallback: undefined };
 
 const ARMS_BY_PHASE: Readonly<
-  Record<RolloutPhase, (terms: SendTerms) => Arms>
+  Record<RolloutPhase, (terms: ArmConditions) => Arms>
 > = {
   canary: canaryArms,
   promoting: promotingArms,
-  rolled_back: () => BASELINE_ALONE,
-  completed: () => TARGET_ALONE,
+  rolled_back: () => BASELINE_ONLY,
+  completed: () => TARGET_ONLY,
 };
 
-/** A host that told to have left the baseline rather refuses than goes back. */
-function promotingArms(terms: SendTerms): Arms {
-  if (!terms.isCommitted) return canaryArms(terms);
-  return !terms.isInTime || terms.budget.allows ? TARGET_ALONE : NEITHER;
+/**
+ * A host that reported to have left the baseline refuses requests rather than
+ * return to it.
+ */
+function promotingArms(conditions: ArmConditions): Arms {
+  if (!conditions.isCommitted) return canaryArms(conditions);
+  return !conditions.isBeforeDeadline || conditions.budget.allowsTarget
+    ? TARGET_ONLY
+    : NO_ARM;
 }
 
-/** What failed once goes to the version that is known. */
-function canaryArms({ isFirst, budget, canary }: SendTerms): Arms {
+/** A request that failed once goes to the baseline. */
+function canaryArms({ isFirst, budget, canary }: ArmConditions): Arms {
   if (isFirst && budget.allowsCanary(canary)) return TARGET_FIRST;
-  return budget.allows && isFirst
-    ? { first: "baseline", otherwise: "target" }
-    : BASELINE_ALONE;
+  return budget.allowsTarget && isFirst
+    ? { first: "baseline", fallback: "target" }
+    : BASELINE_ONLY;
 }
--- a/packages/rampswitch-serving/src/rollout/rollout_log.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_log.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What is told of versions and roll-outs: a line and a count for each step.
+ * Logs and counts the steps of roll-outs.
  *
  * @module
  */
@@ -10,71 +10,71 @@
 import type { Rollout } from "./rollout.ts";
 import type { VersionArm } from "./version_counts.ts";
 
-/** What lines are written with. */
-export interface LineParts {
+/** What the log depends on. */
+export interface RolloutLogParts {
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
 }
 
-/** Lines and counts of one host. */
-export class RolloutLines {
-  readonly #parts: LineParts;
+/** Logs and counts the steps of one host's roll-outs. */
+export class RolloutLog {
+  readonly #parts: RolloutLogParts;
 
-  constructor(parts: LineParts) {
+  constructor(parts: RolloutLogParts) {
     this.#parts = parts;
   }
 
-  /** A version turned up that no order told of. */
+  /** A version that no known spec names is held back. */
   heldBack(service: string, version: string): void {
     this.#parts.metrics.event("version_held_back");
     this.#parts.logger.info("version held back", { service, version });
   }
 
-  /** No order speaks of some versions. */
-  met(service: string, versions: readonly string[]): void {
+  /** Versions that no spec names are accepted. */
+  acceptedWithoutSpec(service: string, versions: readonly string[]): void {
     this.#parts.logger.info("versions met without an order", {
       service,
       versions: versions.join(","),
     });
   }
 
-  /** A request goes to one of the versions. */
+  /** A request is sent to one of the versions of a roll-out. */
   sent(arm: VersionArm): void {
     this.#parts.metrics.event(`rollout_sent_${arm}`);
   }
 
-  /** An order is known. */
-  known(rollout: Rollout, now: number): void {
+  /** A roll-out starts on this host. */
+  started(rollout: Rollout, now: number): void {
     this.#parts.metrics.event("rollout_started");
     this.#parts.logger.info("roll-out known", {
-      ...namesOf(rollout),
+      ...identityFields(rollout),
       baseline: rollout.baseline.join(","),
       slack: rollout.budget.slack,
-      remainingMilliseconds: remaining(rollout, now),
+      remainingMilliseconds: remainingMillisecondsOf(rollout, now),
     });
   }
 
-  /** All hosts are to send everything to the target version. */
-  promotes(rollout: Rollout, now: number): void {
+  /** All hosts are to send every request to the target version. */
+  promoting(rollout: Rollout, now: number): void {
     this.#parts.metrics.event("rollout_promoting");
     this.#parts.logger.info("roll-out promotes", {
-      ...namesOf(rollout),
+      ...identityFields(rollout),
       reason: rollout.reason,
-      ...sends(rollout),
-      remainingMilliseconds: remaining(rollout, now),
+      ...sendFields(rollout),
+      remainingMilliseconds: remainingMillisecondsOf(rollout, now),
     });
   }
 
-  /** A roll-out is over, and why. */
-  over(rollout: Rollout, now: number): void {
+  /** A roll-out has ended; the line holds the reason. */
+  ended(rollout: Rollout, now: number): void {
     const { fault } = rollout;
     this.#parts.metrics.event(`rollout_${rollout.phase}`);
     this.#parts.logger.info("roll-out over", {
-      ...namesOf(rollout),
+      ...identityFields(rollout),
       phase: rollout.phase,
       reason: rollout.reason,
-      ...sends(rollout),
-      remainingMilliseconds: remaining(rollout, now),
+      ...sendFields(rollout),
+      remainingMilliseconds: remainingMillisecondsOf(rollout, now),
       test: fault?.kind,
       route: fault?.route,
       evidence: fault?.evidence,
@@ -84,14 +84,14 @@
   }
 }
 
-function namesOf({ order: { service, toVersion } }: Rollout) {
+function identityFields({ spec: { service, toVersion } }: Rollout) {
   return { service, toVersion };
 }
 
-function sends({ budget }: Rollout) {
+function sendFields({ budget }: Rollout) {
   return { sentToTarget: budget.sentToTarget, sent: budget.sent };
 }
 
-function remaining({ deadlineAt }: Rollout, now: number): number {
+function remainingMillisecondsOf({ deadlineAt }: Rollout, now: number): number {
   return Math.round(deadlineAt - now);
 }
--- a/packages/rampswitch-serving/src/rollout/rollout_spec.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_spec.ts
@@ -1,44 +1,48 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Orders of roll-outs as operators give them, and what the store says of each.
+ * Specs of roll-outs as operators give them, and their states in the store.
  *
  * @module
  */
 import type { Result } from "true-myth";
 import type { StoredObject, StoreError } from "rampswitch-store";
 
-/** An order to move a service's traffic onto servers of another version. */
+/** Asks for a service's traffic to be shifted to servers of another version. */
 export interface RolloutOrder {
   readonly service: string;
   readonly toVersion: string;
-  /** Time in which it is to end, in milliseconds. */
+  /** Time within which the roll-out has to end, in milliseconds. */
   readonly durationMilliseconds: number;
 }
 
-/** What the store says of an order. */
+/** State of a roll-out in the store. */
 export type StoredRolloutState = "running" | "completed" | "rolled_back";
 
-/** An order and its state, as the store holds them. */
+/** A roll-out spec and its state, as they are stored. */
 export interface StoredRollout {
   readonly order: RolloutOrder;
-  /** `undefined` where nothing was stored for this order yet. */
+  /** `undefined` if no state was stored for this spec yet. */
   readonly state: StoredRolloutState | undefined;
 }
 
 /**
- * Steps of a roll-out at a host. `canary` sends the target version a share of the
- * requests; `promoting` sends it all, as far as its exposure allows.
+ * Phases of a roll-out on a host. In `canary` the target version gets a share
+ * of the requests; in `promoting` it gets all of them, as far as its exposure
+ * allows.
  */
 export type RolloutPhase = "canary" | "promoting" | "completed" | "rolled_back";
 
-/** Decodes orders, and stores their states. */
+/** Decodes roll-out specs, and stores their states. */
 export interface RolloutOrders {
-  /** Prefix of the orders' keys in the store. */
+  /** Prefix of the specs' keys in the store. */
   readonly prefix: string;
-  /** Reads an order; an error says why it can't be read. */
+  /** Decodes a spec; an error is the reason why it can't be decoded. */
   decode(key: string, value: string): Result<StoredRollout, string>;
-  /** Stores a state if the order still is as it was in this version. */
+  /**
+   * Stores a state unless the spec has changed since the given version of its
+   * entry.
+   */
   storeState(
     order: RolloutOrder,
     state: StoredRolloutState,
@@ -46,10 +50,10 @@
   ): Promise<Result<StoredObject, StoreError>>;
 }
 
-/** Terms under which a version that nobody has judged gets requests. */
+/** Bounds on the requests that an unevaluated version may get. */
 export interface ExposureTerms {
-  /** Most of a service's requests that it may get, as a share. */
+  /** Maximum share of a service's requests. */
   readonly share: number;
-  /** Requests that it may get beside, over the whole fleet. */
+  /** Requests beyond the share, over the whole fleet. */
   readonly slack: number;
 }
--- a/packages/rampswitch-serving/src/rollout/rollout_standin.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_standin.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Versions of servers for tests of parts that know roll-outs but order none.
+ * Roll-outs for tests of parts that depend on them but don't test them.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import { Rollouts } from "./rollouts.ts";
 import { VersionJudge } from "./version_evaluator.ts";
 
-/** Roll-outs of a host that is alone. */
+/** Roll-outs of a fleet of one host. */
 export function loneRollouts(directory = new ServerDirectory()): Rollouts {
   return new Rollouts(
     {
@@ -28,7 +28,7 @@
   );
 }
 
-/** A store of orders that has none. */
+/** A roll-out store without specs. */
 export const NO_ROLLOUT_STORE = {
   follow: () => undefined,
   store: () => Promise.resolve(),
--- a/packages/rampswitch-serving/src/rollout/rollout_store.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Reads orders of roll-outs from the platform's store and stores their states. The
- * holder of the duties watches the orders; other hosts hear of them by news, and
- * read them only when a version turns up that nobody told them of.
+ * Reads roll-out specs from the platform's store and stores their states. The
+ * duty holder watches the specs. Other hosts receive them by gossip, and read
+ * them only when a version appears that no update named.
  *
  * @module
  */
@@ -20,79 +20,82 @@
 import type { RolloutOrders } from "./rollout_spec.ts";
 import type { DueState, Rollouts } from "./rollouts.ts";
 
-/** What the store of orders works with. */
+/** What the roll-out store depends on. */
 export interface RolloutStoreParts {
   readonly rollouts: Rollouts;
   readonly orders: RolloutOrders;
   readonly store: ObjectStore;
-  /** A steady clock. */
+  /** A monotonic clock. */
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
   /** Whether this host may act for the fleet now. */
   holdsDuties(): boolean;
-  /** Whether other hosts tell this one of orders. */
+  /** Whether this host receives specs from other hosts. */
   hearsOrders(): boolean;
 }
 
-/** Longest wait of the holder's watch, in seconds: near the most that stores allow. */
-const WATCH_SECONDS = 29;
+/**
+ * Maximum duration of one watch call, in seconds: close to the maximum that
+ * stores allow.
+ */
+const MAXIMUM_WATCH_SECONDS = 29;
 
 /** Wait after a call that failed, in milliseconds. */
-const RETRY_MILLISECONDS = 500;
+const RETRY_INTERVAL_MILLISECONDS = 500;
 
-/** Wait where there is nothing to read, in milliseconds. */
-const IDLE_MILLISECONDS = 60_000;
+/** Wait while there is nothing to read, in milliseconds. */
+const IDLE_INTERVAL_MILLISECONDS = 60_000;
 
-/** Time for others to tell of the order of a version, in milliseconds. */
-const HEARD_MILLISECONDS = 900;
+/** Time to receive the spec of a new version by gossip, in milliseconds. */
+const GOSSIP_WAIT_MILLISECONDS = 900;
 
-/** The orders in the store. */
+/** Reads the specs in the store, and stores their states. */
 export class RolloutStore implements AsyncDisposable {
   readonly #parts: RolloutStoreParts;
   readonly #watcher: Watcher;
-  readonly #questions: Repetition;
-  /** Newest version of each order that was read. */
+  readonly #listReads: Repetition;
+  /** Newest version of each spec's entry that was read. */
   readonly #versions = new Map<string, number>();
 
   constructor(parts: RolloutStoreParts) {
     this.#parts = parts;
-    const { store, orders, clock, random } = parts;
-    this.#watcher = new Watcher(store, orders.prefix, {
+    const { store, orders: adapter, clock, random } = parts;
+    this.#watcher = new Watcher(store, adapter.prefix, {
       clock,
       random,
-      seconds: () => WATCH_SECONDS,
+      seconds: () => MAXIMUM_WATCH_SECONDS,
       listener: {
-        changed: (object) => this.#take(object),
+        changed: (object) => this.#apply(object),
         removed: (key) =>
-          parts.rollouts.withdrawn(this.#name(key), clock.now()),
-        confirmed: () => this.#leaveToHolder(),
+          parts.rollouts.withdrawn(this.#serviceOf(key), clock.now()),
+        confirmed: () => this.#suspendUnlessHolder(),
         failed: () => {
           parts.metrics.event("rollout_watch_failed");
-          this.#leaveToHolder();
+          this.#suspendUnlessHolder();
         },
       },
     });
     this.#watcher.suspend();
-    this.#questions = repeat(
+    this.#listReads = repeat(
       clock,
-      () => jitter(random, this.#wait()),
-      () => this.#ask(),
+      () => jitter(random, this.#readInterval()),
+      () => this.#readSpecs(),
     );
   }
 
-  /** Follows the orders for as long as this host holds the duties. */
+  /** Watches the specs for as long as this host holds the duties. */
   follow(): void {
     this.#watcher.resume();
   }
 
-  /** A version turned up that no order told of. */
+  /** A version appeared that no known spec names. */
   unknownVersion(): void {
-    this.#questions.hurry();
+    this.#listReads.hurry();
   }
 
-  /** Stores states that are due, one after the other. */
+  /** Stores due states one after the other. */
   async store(due: readonly DueState[]): Promise<void> {
     await due.reduce(
       (previous, state) => previous.then(() => this.#store(state)),
@@ -102,44 +105,45 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#watcher[Symbol.asyncDispose]();
-    await this.#questions[Symbol.asyncDispose]();
+    await this.#listReads[Symbol.asyncDispose]();
   }
 
-  #leaveToHolder(): void {
+  #suspendUnlessHolder(): void {
     if (!this.#parts.holdsDuties()) this.#watcher.suspend();
   }
 
-  #wait(): number {
+  #readInterval(): number {
     return Number.isFinite(this.#parts.rollouts.holdingSince)
-      ? RETRY_MILLISECONDS
-      : IDLE_MILLISECONDS;
+      ? RETRY_INTERVAL_MILLISECONDS
+      : IDLE_INTERVAL_MILLISECONDS;
   }
 
-  async #ask(): Promise<void> {
-    const { rollouts, store, orders, clock, metrics } = this.#parts;
-    const waited = clock.now() - rollouts.holdingSince;
-    const mayHear = this.#parts.hearsOrders() && waited < HEARD_MILLISECONDS;
-    if (!Number.isFinite(rollouts.holdingSince) || mayHear) return;
-    const listed = await store.list(orders.prefix);
+  async #readSpecs(): Promise<void> {
+    const { rollouts, store, orders: adapter, clock, metrics } = this.#parts;
+    const heldBackFor = clock.now() - rollouts.holdingSince;
+    const canStillReceive =
+      this.#parts.hearsOrders() && heldBackFor < GOSSIP_WAIT_MILLISECONDS;
+    if (!Number.isFinite(rollouts.holdingSince) || canStillReceive) return;
+    const listed = await store.list(adapter.prefix);
     if (listed.isErr) {
       metrics.event("rollout_orders_unread");
       return;
     }
-    listed.value.objects.forEach((object) => this.#take(object));
+    listed.value.objects.forEach((object) => this.#apply(object));
     rollouts.read();
   }
 
-  #take(object: StoredObject): void {
-    const { rollouts, orders, clock, logger, metrics } = this.#parts;
-    // An answer that comes late tells of an order that is not the newest.
+  #apply(object: StoredObject): void {
+    const { rollouts, orders: adapter, clock, logger, metrics } = this.#parts;
+    // A delayed answer may hold an older version of the spec.
     if ((this.#versions.get(object.key) ?? 0) > object.version) return;
     this.#versions.set(object.key, object.version);
-    const decoded = orders.decode(object.key, object.value);
+    const decoded = adapter.decode(object.key, object.value);
     if (decoded.isOk) {
       rollouts.stored(decoded.value, object.version, clock.now());
       return;
     }
-    rollouts.unreadable(this.#name(object.key));
+    rollouts.unreadable(this.#serviceOf(object.key));
     metrics.event("rollout_order_malformed");
     logger.error("order of a roll-out can't be read", {
       key: object.key,
@@ -148,24 +152,24 @@
     });
   }
 
-  async #store({ order, state, storeVersion }: DueState): Promise<void> {
-    const { orders, logger, metrics } = this.#parts;
-    const put = await orders.storeState(order, state, storeVersion);
+  async #store({ order: spec, state, storeVersion }: DueState): Promise<void> {
+    const { orders: adapter, logger, metrics } = this.#parts;
+    const put = await adapter.storeState(spec, state, storeVersion);
     const outcome = put.isOk ? "stored" : put.error.kind;
     metrics.event(`rollout_state_${outcome}`);
     logger.info("roll-out state", {
-      service: order.service,
-      toVersion: order.toVersion,
+      service: spec.service,
+      toVersion: spec.toVersion,
       state,
       outcome,
     });
-    if (put.isOk) this.#take(put.value);
+    if (put.isOk) this.#apply(put.value);
     else if (put.error.kind === "conflict" && put.error.current !== undefined) {
-      this.#take(put.error.current);
+      this.#apply(put.error.current);
     }
   }
 
-  #name(key: string): string {
+  #serviceOf(key: string): string {
     return key.slice(this.#parts.orders.prefix.length);
   }
 }
--- a/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
@@ -12,13 +12,13 @@
 
 const SERVICE = "models";
 const KEY = `rollouts/${SERVICE}`;
-const ORDER = {
+const SPEC = {
   service: SERVICE,
   toVersion: "v2",
   durationMilliseconds: 12_000,
 };
 
-/** A store with one order, which may lose answers. */
+/** A store with one spec, which may lose answers. */
 class Fixture implements AsyncDisposable {
   readonly clock = new ManualClock(100_000);
   readonly rollouts: Rollouts = loneRollouts();
@@ -66,7 +66,7 @@
       prefix: "rollouts/",
       decode: (_, value) =>
         Result.ok({
-          order: ORDER,
+          order: SPEC,
           state: (JSON.parse(value) as StoredRolloutState | null) ?? undefined,
         }),
       storeState: (_, state, version) => {
@@ -119,13 +119,13 @@
     fixture.store.follow();
     await fixture.pass(200);
     expect(fixture.lists).toBe(1);
-    expect(fixture.rollouts.news(fixture.clock.now())[0]?.order).toEqual(ORDER);
+    expect(fixture.rollouts.news(fixture.clock.now())[0]?.order).toEqual(SPEC);
   });
 
   test("a state whose answer is lost is neither stored twice nor forgotten", async () => {
     await using fixture = new Fixture();
     fixture.rollouts.stored(
-      { order: ORDER, state: undefined },
+      { order: SPEC, state: undefined },
       fixture.version,
       fixture.clock.now(),
     );
--- a/packages/rampswitch-serving/src/rollout/rollout_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_test.ts
@@ -5,35 +5,38 @@
 import { Rollout, type RolloutNews, type RolloutView } from "./rollout.ts";
 import type { Judge, VersionFault } from "./version_evaluator.ts";
 
-const ORDER = {
+const SPEC = {
   service: "models",
   toVersion: "v2",
   durationMilliseconds: 30_000,
 };
-const LIFE = "host-2/a";
+const INCARNATION = "host-2/a";
 
-interface Told {
+interface EvaluatorState {
   fault: VersionFault | undefined;
   allows: boolean;
 }
 
-function rolloutOf(told: Told, baseline: readonly string[] = ["v1"]): Rollout {
-  const judge: Judge = {
+function rolloutOf(
+  state: EvaluatorState,
+  baseline: readonly string[] = ["v1"],
+): Rollout {
+  const evaluator: Judge = {
     observe: () => undefined,
     get fault() {
-      return told.fault;
+      return state.fault;
     },
-    allows: () => told.allows,
+    allows: () => state.allows,
   };
   return new Rollout({
-    order: ORDER,
+    spec: SPEC,
     baseline,
     storeVersion: 5,
-    remainingMilliseconds: ORDER.durationMilliseconds,
+    remainingMilliseconds: SPEC.durationMilliseconds,
     terms: { share: 0.1, slack: 50 },
     slack: 4,
-    phase: 0,
-    judge,
+    stagger: 0,
+    evaluator,
     now: 0,
   });
 }
@@ -42,25 +45,25 @@
   return {
     now: 29_000,
     ready: { baseline: 4, target: 4 },
-    peers: [LIFE],
+    peers: [INCARNATION],
     running: 0,
     ...view,
   };
 }
 
-function newsOf(news: Partial<RolloutNews>): RolloutNews {
+function updateOf(update: Partial<RolloutNews>): RolloutNews {
   return {
-    order: ORDER,
+    order: SPEC,
     baseline: ["v1"],
     storeVersion: 5,
     remainingMilliseconds: 900,
     phase: "canary",
     own: { hasMoved: false, counts: {}, waiting: {} },
-    ...news,
+    ...update,
   };
 }
 
-const MOVED = newsOf({
+const HAS_LEFT_BASELINE = updateOf({
   phase: "promoting",
   own: { hasMoved: true, counts: {}, waiting: {} },
 });
@@ -73,9 +76,9 @@
   wrong: 9,
 };
 
-/** A roll-out that promotes and has sent enough to the baseline before. */
-function promoting(told: Told): Rollout {
-  const rollout = rolloutOf(told);
+/** A roll-out in its promotion, with enough earlier sends to the baseline. */
+function promoting(state: EvaluatorState): Rollout {
+  const rollout = rolloutOf(state);
   Array.from({ length: 400 }).forEach(() =>
     rollout.sent({ arm: "baseline", route: "r", server: "s", sentAt: 0 }),
   );
@@ -104,35 +107,35 @@
     const few = rolloutOf({ fault: undefined, allows: true });
     few.dueState(viewOf({ ready: { baseline: 4, target: 2 } }));
     expect(few.phase).toBe("canary");
-    const unjudged = rolloutOf({ fault: undefined, allows: false });
-    unjudged.dueState(viewOf({}));
-    expect(unjudged.phase).toBe("canary");
+    const unevaluated = rolloutOf({ fault: undefined, allows: false });
+    unevaluated.dueState(viewOf({}));
+    expect(unevaluated.phase).toBe("canary");
   });
 
   test("completes once everybody has left the baseline", () => {
     const rollout = promoting({ fault: undefined, allows: true });
     expect(rollout.dueState(viewOf({ running: 1 }))).not.toBe("completed");
     expect(rollout.dueState(viewOf({}))).not.toBe("completed");
-    rollout.heard(MOVED, LIFE);
+    rollout.receive(HAS_LEFT_BASELINE, INCARNATION);
     expect(rollout.dueState(viewOf({ running: 1 }))).not.toBe("completed");
-    expect(rollout.dueState(viewOf({ peers: [LIFE, "new/1"] }))).not.toBe(
-      "completed",
-    );
+    expect(
+      rollout.dueState(viewOf({ peers: [INCARNATION, "new/1"] })),
+    ).not.toBe("completed");
     expect(rollout.dueState(viewOf({}))).toBe("completed");
   });
 
   test("gives up what has no servers in time, and what nobody could judge", () => {
-    const without = rolloutOf({ fault: undefined, allows: false });
+    const withoutServers = rolloutOf({ fault: undefined, allows: false });
     const none = { baseline: 4, target: 0 };
-    without.dueState(viewOf({ now: 29_000, ready: none }));
-    expect(without.phase).toBe("canary");
-    expect(without.dueState(viewOf({ now: 30_001, ready: none }))).toBe(
+    withoutServers.dueState(viewOf({ now: 29_000, ready: none }));
+    expect(withoutServers.phase).toBe("canary");
+    expect(withoutServers.dueState(viewOf({ now: 30_001, ready: none }))).toBe(
       "rolled_back",
     );
-    expect(without.reason).toBe("no_servers");
-    const unjudged = rolloutOf({ fault: undefined, allows: false });
-    expect(unjudged.dueState(viewOf({ now: 60_001 }))).toBe("rolled_back");
-    expect(unjudged.reason).toBe("not_judged");
+    expect(withoutServers.reason).toBe("no_servers");
+    const unevaluated = rolloutOf({ fault: undefined, allows: false });
+    expect(unevaluated.dueState(viewOf({ now: 60_001 }))).toBe("rolled_back");
+    expect(unevaluated.reason).toBe("not_judged");
   });
 
   test("completes an order for what is there already", () => {
@@ -148,18 +151,18 @@
 
 describe("roll-out at any host", () => {
   test("stops by itself on what it knows, and on anybody's word", () => {
-    const told: Told = { fault: undefined, allows: true };
-    const judged = rolloutOf(told);
-    told.fault = FAULT;
-    judged.look(1);
-    expect(judged.phase).toBe("rolled_back");
-    expect(judged.arms({ isFirst: true, now: 1 })).toEqual({
+    const state: EvaluatorState = { fault: undefined, allows: true };
+    const evaluated = rolloutOf(state);
+    state.fault = FAULT;
+    evaluated.evaluate(1);
+    expect(evaluated.phase).toBe("rolled_back");
+    expect(evaluated.arms({ isFirst: true, now: 1 })).toEqual({
       first: "baseline",
       otherwise: undefined,
     });
-    const heard = rolloutOf({ fault: undefined, allows: true });
-    heard.heard(newsOf({ phase: "rolled_back" }), LIFE);
-    expect(heard.phase).toBe("rolled_back");
+    const informed = rolloutOf({ fault: undefined, allows: true });
+    informed.receive(updateOf({ phase: "rolled_back" }), INCARNATION);
+    expect(informed.phase).toBe("rolled_back");
   });
 
   test("sends what failed once to the version that is known", () => {
@@ -173,13 +176,16 @@
 
   test("does not go back to a baseline that it told to have left", () => {
     const rollout = promoting({ fault: undefined, allows: true });
-    expect(rollout.hasMoved(28_900, 0)).toBe(true);
+    expect(rollout.hasLeftBaseline(28_900, 0)).toBe(true);
     const firsts = Array.from({ length: 200 }).map(() => {
-      const { first, otherwise } = rollout.arms({ isFirst: true, now: 29_500 });
+      const { first, fallback } = rollout.arms({
+        isFirst: true,
+        now: 29_500,
+      });
       if (first !== undefined) {
         rollout.sent({ arm: first, route: "r", server: "s", sentAt: 0 });
       }
-      return [first, otherwise];
+      return [first, fallback];
     });
     expect(firsts.flat()).not.toContain("baseline");
     expect(rollout.budget.sentToTarget).toBeLessThanOrEqual(
@@ -206,10 +212,10 @@
       fc.property(
         fc.array(fc.tuple(step, fc.nat(400)), { maxLength: 120 }),
         (steps) => {
-          const told: Told = { fault: undefined, allows: true };
-          const rollout = rolloutOf(told);
+          const state: EvaluatorState = { fault: undefined, allows: true };
+          const rollout = rolloutOf(state);
           let now = 0;
-          let wasBack = false;
+          let wasRolledBack = false;
           steps.forEach(([one, wait]) => {
             now = Math.min(now + wait, 29_999);
             if (one.kind === "send") {
@@ -222,15 +228,15 @@
                   sentAt: now,
                 });
               }
-              expect(wasBack && first === "target").toBe(false);
+              expect(wasRolledBack && first === "target").toBe(false);
             } else if (one.kind === "hear") {
-              rollout.heard(newsOf({ phase: one.phase }), LIFE);
+              rollout.receive(updateOf({ phase: one.phase }), INCARNATION);
             } else if (one.kind === "store") {
               rollout.stored(one.state, one.version);
-            } else if (one.kind === "fault") told.fault = FAULT;
-            else rollout.look(now);
-            wasBack ||= rollout.phase === "rolled_back";
-            expect(wasBack).toBe(rollout.phase === "rolled_back");
+            } else if (one.kind === "fault") state.fault = FAULT;
+            else rollout.evaluate(now);
+            wasRolledBack ||= rollout.phase === "rolled_back";
+            expect(wasRolledBack).toBe(rollout.phase === "rolled_back");
             expect(rollout.budget.sentToTarget).toBeLessThanOrEqual(
               0.1 * rollout.budget.sent + 4,
             );
--- a/packages/rampswitch-serving/src/rollout/rollouts.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts.ts
@@ -1,22 +1,21 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The versions of all services' servers as one host knows them: which of them may
- * be sent requests, and the roll-outs that move traffic from one to another. A
- * version that nobody ordered and nobody has met gets nothing until the orders in
- * the store were read.
+ * The versions of all services' servers on one host: which versions may be sent
+ * requests, and the roll-outs between them. A new version that no spec names
+ * gets no requests until the specs in the store were read.
  *
  * @module
  */
 import type { ServerDirectory, ServerRecord } from "../choice/mod.ts";
-import { type FleetPlace, slackOf } from "./exposure_budget.ts";
+import { type FleetPosition, slackOfHost } from "./exposure_budget.ts";
 import {
   Rollout,
   type RolloutNews,
   type RolloutView,
   type SentRequest,
 } from "./rollout.ts";
-import { type LineParts, RolloutLines } from "./rollout_log.ts";
+import { type RolloutLogParts, RolloutLog } from "./rollout_log.ts";
 import type {
   ExposureTerms,
   RolloutOrder,
@@ -25,36 +24,44 @@
 } from "./rollout_spec.ts";
 import type { VersionArm } from "./version_counts.ts";
 import type { Judge } from "./version_evaluator.ts";
-import { canaryOf, ofMostServers } from "./version_servers.ts";
+import {
+  canaryServers,
+  serversOfMostCommonVersion,
+} from "./version_servers.ts";
 
-/** What the roll-outs work with. */
-export interface RolloutsParts extends LineParts {
+/** What the roll-outs depend on. */
+export interface RolloutsParts extends RolloutLogParts {
   readonly directory: ServerDirectory;
-  /** Terms under which a version that nobody has judged gets requests. */
+  /** Bounds on the requests that an unevaluated version may get. */
   terms(): ExposureTerms;
-  /** This host's place in an order of all that a key draws. */
-  place(key: string): FleetPlace;
-  /** A version begins to be left: {@link Rollouts.leaving} is due until it is. */
+  /**
+   * The position of this host in an order of all hosts that depends on a key.
+   */
+  place(key: string): FleetPosition;
+  /**
+   * Called when a promotion begins. Its progress has to be checked by {@link
+   * Rollouts.leaving} until the promotion ends.
+   */
   onPromoting(): void;
-  /** Judges one roll-out. */
+  /** Creates the evaluator of one roll-out. */
   judge(): Judge;
-  /** Orders have to be read before a version gets requests. */
+  /** Called when the specs have to be read before a version gets requests. */
   onUnknownVersion(): void;
 }
 
-/** What is read of a listed server. */
+/** The fields of a listed server that are used here. */
 export interface ListedVersion {
   readonly service: string;
   readonly version: string;
 }
 
-/** Servers to choose among: those to take first, and those to take otherwise. */
+/** Servers to choose from: the preferred ones, and the fallback. */
 export interface VersionChoice {
   readonly first: readonly ServerRecord[];
   readonly otherwise: readonly ServerRecord[] | undefined;
 }
 
-/** A state for the holder of the duties to store. */
+/** A state that the duty holder has to store. */
 export interface DueState {
   readonly order: RolloutOrder;
   readonly state: StoredRolloutState;
@@ -65,34 +72,43 @@
 interface ServiceVersions {
   /** Versions that get requests. */
   readonly accepted: ReadonlySet<string>;
-  /** Versions that were rolled back or moved from. */
+  /** Versions that were rolled back or replaced. */
   readonly refused: ReadonlySet<string>;
-  /** The target version that was rolled back last, with no other order since. */
+  /**
+   * The target version that was rolled back last; `undefined` after another
+   * spec.
+   */
   readonly rolledBack: string | undefined;
   readonly rollout: Rollout | undefined;
-  /** Newest version in the store of the order before, once that is forgotten. */
+  /**
+   * Newest version of the last spec's entry in the store, once its roll-out is
+   * forgotten.
+   */
   readonly storeVersion: number;
-  /** When the roll-out was first told to be over. */
+  /** When this host first saw that the roll-out was over. */
   readonly overSince: number | undefined;
 }
 
-/** A host that was not up when an order came spends no slack, in milliseconds. */
-const ORDER_AGE_MILLISECONDS = 3_000;
+/**
+ * Time that a host must have been up before a spec began, in milliseconds.
+ * Otherwise it uses no slack.
+ */
+const MINIMUM_UPTIME_BEFORE_SPEC_MILLISECONDS = 3_000;
 
-/** A roll-out that is over is told for this time, in milliseconds. */
-const TOLD_MILLISECONDS = 10_000;
+/** How long a roll-out that is over is still reported, in milliseconds. */
+const REPORT_LIFETIME_MILLISECONDS = 10_000;
 
 /**
- * Versions listed this soon after each other at a start tell nothing of their order,
- * in milliseconds.
+ * Period after the first listed server of a service, in milliseconds. The order
+ * in which versions are listed in it doesn't show which of them is new.
  */
-const FIRST_LIST_MILLISECONDS = 2_000;
+const INITIAL_LISTING_MILLISECONDS = 2_000;
 
 /**
- * Time after which a version without orders that could be read is used where no
- * other is left, in milliseconds.
+ * How long a version is held back if the specs can't be read and no other
+ * version has a ready server, in milliseconds.
  */
-const HELD_BACK_MILLISECONDS = 2_000;
+const MAXIMUM_HOLD_BACK_MILLISECONDS = 2_000;
 
 const NO_VERSIONS: ServiceVersions = {
   accepted: new Set(),
@@ -103,35 +119,40 @@
   overSince: undefined,
 };
 
-/** Versions and roll-outs at one host. */
+/** The versions and roll-outs on one host. */
 export class Rollouts {
   readonly #parts: RolloutsParts;
-  readonly #lines: RolloutLines;
+  readonly #log: RolloutLog;
   readonly #startedAt: number;
   readonly #services = new Map<string, ServiceVersions>();
-  /** Services whose orders can't be read; their new versions stay held back. */
+  /**
+   * Services whose specs can't be decoded; their new versions stay held back.
+   */
   readonly #unreadable = new Set<string>();
-  /** Since when services have versions that are held back. */
-  readonly #holding = new Map<string, number>();
-  /** Who has left a former version, as it was last told. */
-  #toldMoved = "";
-  /** Services whose promotion was told of. */
-  readonly #promoting = new Set<string>();
+  /** When each service began to hold back a version. */
+  readonly #heldBackSince = new Map<string, number>();
+  /** Progress of the promotions at the last check. */
+  #lastProgress = "";
+  /** Services whose promotion was logged and announced. */
+  readonly #announcedPromotions = new Set<string>();
   /** When the first server of each service was listed. */
   readonly #firstListedAt = new Map<string, number>();
 
   constructor(parts: RolloutsParts, now: number) {
     this.#parts = parts;
-    this.#lines = new RolloutLines(parts);
+    this.#log = new RolloutLog(parts);
     this.#startedAt = now;
   }
 
-  /** Since when some version waits for the orders to be read. */
+  /**
+   * Since when a version waits for the specs to be read; `Infinity` if none
+   * does.
+   */
   get holdingSince(): number {
-    return Math.min(Infinity, ...this.#holding.values());
+    return Math.min(Infinity, ...this.#heldBackSince.values());
   }
 
-  /** A server is listed. */
+  /** Registers the version of a listed server. */
   listed({ service, version }: ListedVersion, now: number): void {
     const known = this.#services.get(service) ?? NO_VERSIONS;
     if (known.accepted.has(version) || known.refused.has(version)) return;
@@ -141,122 +162,134 @@
       this.#set(service, { ...known, accepted: new Set([version]) });
       return;
     }
-    if (this.#holding.has(service)) return;
-    this.#holding.set(service, now);
-    this.#lines.heldBack(service, version);
+    if (this.#heldBackSince.has(service)) return;
+    this.#heldBackSince.set(service, now);
+    this.#log.heldBack(service, version);
     this.#parts.onUnknownVersion();
   }
 
-  /** All orders in the store were read; what they don't speak of may be used. */
+  /**
+   * Accepts the held-back versions that no spec names, once all specs were
+   * read.
+   */
   read(): void {
-    [...this.#holding.keys()]
+    [...this.#heldBackSince.keys()]
       .filter((service) => !this.#unreadable.has(service))
       .forEach((service) => this.#acceptListed(service));
   }
 
-  /** Takes in an order and its state. */
+  /** Applies a spec and its state from the store. */
   stored(stored: StoredRollout, storeVersion: number, now: number): void {
-    const { order, state } = stored;
-    this.#unreadable.delete(order.service);
-    const known = this.#services.get(order.service)?.rollout;
-    if (known?.order.toVersion !== order.toVersion && isOver(state)) {
-      this.#storedOver(order, state === "rolled_back");
+    const { order: spec, state } = stored;
+    this.#unreadable.delete(spec.service);
+    const known = this.#services.get(spec.service)?.rollout;
+    if (known?.spec.toVersion !== spec.toVersion && isFinal(state)) {
+      this.#applyStoredEnd(spec, state === "rolled_back");
       return;
     }
-    const rollout = this.#rolloutFor(order, {
+    const rollout = this.#findOrStart(spec, {
       storeVersion,
-      remainingMilliseconds: order.durationMilliseconds,
+      remainingMilliseconds: spec.durationMilliseconds,
       wasRunning: state !== undefined,
       now,
     });
     rollout.stored(state, storeVersion);
-    this.#settle(order.service, now);
+    this.#applyPhase(spec.service, now);
   }
 
-  /** An order can't be read; what was known of the service's versions stays. */
+  /**
+   * Marks a spec as undecodable; the known versions of its service stay as they
+   * are.
+   */
   unreadable(service: string): void {
     this.#unreadable.add(service);
   }
 
-  /** An order was taken back. */
+  /** Rolls back the roll-out of a spec that was withdrawn. */
   withdrawn(service: string, now: number): void {
     this.#unreadable.delete(service);
     const rollout = this.#services.get(service)?.rollout;
     if (rollout === undefined || rollout.isOver) return;
-    rollout.giveUp("withdrawn");
-    this.#settle(service, now);
+    rollout.rollBack("withdrawn");
+    this.#applyPhase(service, now);
   }
 
-  /** Takes in what another host tells; relays tell it of no host of their own. */
+  /**
+   * Applies the updates of another host. Updates of relays come without an
+   * incarnation and report no host's progress.
+   */
   heard(
-    news: readonly RolloutNews[],
+    updates: readonly RolloutNews[],
     options: { readonly life?: string; readonly now: number },
   ): void {
-    const { life, now } = options;
-    news.forEach((one) => {
-      const { service } = one.order;
-      if (this.#isPast(one)) return;
-      this.#rolloutFor(one.order, {
-        ...one,
+    const { life: incarnation, now } = options;
+    updates.forEach((update) => {
+      const { service } = update.order;
+      if (this.#isOutdated(update)) return;
+      this.#findOrStart(update.order, {
+        ...update,
         wasRunning: false,
         now,
-      }).heard(one, life);
-      this.#settle(service, now);
+      }).receive(update, incarnation);
+      this.#applyPhase(service, now);
     });
   }
 
-  /** Whether news is of an order that this host knows to be replaced or over. */
-  #isPast({ order, storeVersion, phase }: RolloutNews): boolean {
-    const known = this.#services.get(order.service);
+  /** Whether an update is about a spec that is known to be replaced or over. */
+  #isOutdated({ order: spec, storeVersion, phase }: RolloutNews): boolean {
+    const known = this.#services.get(spec.service);
     if (known === undefined) return false;
     const { rollout } = known;
-    if (rollout?.order.toVersion === order.toVersion) return false;
+    if (rollout?.spec.toVersion === spec.toVersion) return false;
     if (rollout !== undefined) return rollout.storeVersion >= storeVersion;
     if (storeVersion < known.storeVersion) return true;
-    // Told once more, it would be told for ever.
+    // If hosts applied such an update again, they would report it to each other
+    // without end.
     return (
-      (phase === "rolled_back" && known.rolledBack === order.toVersion) ||
+      (phase === "rolled_back" && known.rolledBack === spec.toVersion) ||
       (phase === "completed" &&
         known.accepted.size === 1 &&
-        known.accepted.has(order.toVersion))
+        known.accepted.has(spec.toVersion))
     );
   }
 
-  /** What to tell the other hosts of this one. */
+  /** The updates of this host for the other hosts. */
   news(now: number): readonly RolloutNews[] {
-    const active = this.#active();
-    active.forEach((rollout) => {
-      rollout.look(now);
-      this.#settle(rollout.order.service, now);
+    const current = this.#currentRollouts();
+    current.forEach((rollout) => {
+      rollout.evaluate(now);
+      this.#applyPhase(rollout.spec.service, now);
     });
-    return active.map((rollout) =>
-      rollout.news(now, this.#ownRunning(rollout)),
+    return current.map((rollout) =>
+      rollout.updateFor(now, this.#ownRunning(rollout)),
     );
   }
 
   /**
-   * Looks whether versions are left by now: whether some still are to be, and
-   * whether that has changed since it was last told.
+   * Checks the promotions: whether any is in progress, and whether the progress
+   * has changed since the last check.
    */
   leaving(now: number): { readonly goesOn: boolean; readonly isNews: boolean } {
-    const promoting = this.#active().filter(
+    const promoting = this.#currentRollouts().filter(
       ({ phase }) => phase === "promoting",
     );
-    // Relays pass on at once what others tell.
-    const moved = promoting
+    // Relays forward what other hosts report at once.
+    const progress = promoting
       .map((rollout) => [
-        rollout.hasMoved(now, this.#ownRunning(rollout)),
-        rollout.peersMoved,
+        rollout.hasLeftBaseline(now, this.#ownRunning(rollout)),
+        rollout.peersOffBaseline,
       ])
       .join(",");
-    const isNews = moved !== this.#toldMoved;
-    this.#toldMoved = moved;
+    const isNews = progress !== this.#lastProgress;
+    this.#lastProgress = progress;
     return { goesOn: promoting.length > 0, isNews };
   }
 
-  /** What a relay tells its hosts of the fleet. */
+  /** The updates of a relay about the fleet for its members. */
   word(now: number): readonly RolloutNews[] {
-    return this.#active().map((rollout) => rollout.news(now, undefined));
+    return this.#currentRollouts().map((rollout) =>
+      rollout.updateFor(now, undefined),
+    );
   }
 
   /** Servers that a send of a request may go to. */
@@ -268,18 +301,21 @@
     const known = this.#services.get(service);
     if (known?.rollout === undefined || known.overSince !== undefined) {
       return {
-        first: this.#metOf(service, { records, now: send.now }),
+        first: this.#acceptedRecords(service, { records, now: send.now }),
         otherwise: undefined,
       };
     }
     const { rollout } = known;
-    const { first, otherwise } = rollout.arms(send);
+    const { first, fallback } = rollout.arms(send);
     const recordsOf = (arm: VersionArm | undefined) =>
       arm && this.#recordsOf(rollout, arm, { records, now: send.now });
-    return { first: recordsOf(first) ?? [], otherwise: recordsOf(otherwise) };
+    return { first: recordsOf(first) ?? [], otherwise: recordsOf(fallback) };
   }
 
-  /** Notes a send; tells what to say of it where its version is judged. */
+  /**
+   * Counts a send; the returned object receives its outcome if the version is
+   * part of a roll-out.
+   */
   sent(
     { entry }: ServerRecord,
     send: { readonly route: string; readonly sentAt: number },
@@ -287,11 +323,11 @@
     const rollout = this.#services.get(entry.service)?.rollout;
     const arm = rollout?.armOf(entry.version);
     if (rollout === undefined || arm === undefined) return undefined;
-    this.#lines.sent(arm);
+    this.#log.sent(arm);
     return rollout.sent({ ...send, arm, server: entry.id });
   }
 
-  /** Whether a server's requests should go to another version. */
+  /** Whether the requests at a server should go to another version. */
   isLeft({ entry }: ServerRecord, now: number): boolean {
     const rollout = this.#services.get(entry.service)?.rollout;
     return (
@@ -302,28 +338,28 @@
   }
 
   /**
-   * Whether a server counts for the capacity of its service: one of a version that
-   * is still judged may be taken back.
+   * Whether a server counts towards the capacity of its service. A version that
+   * is still being evaluated may be rolled back, so its servers don't count.
    */
   counts({ entry }: ServerRecord): boolean {
     const known = this.#services.get(entry.service);
     return known === undefined || known.accepted.has(entry.version);
   }
 
-  /** Whether a service's traffic is being moved. */
+  /** Whether a roll-out of a service is in progress. */
   isMoving(service: string): boolean {
     return this.#services.get(service)?.rollout?.isOver === false;
   }
 
-  /** States that the holder of the duties is to store. */
+  /** The states that the duty holder has to store. */
   dueStates(now: number, peers: readonly string[]): readonly DueState[] {
     return [...this.#services.values()].flatMap(({ rollout }) => {
       if (rollout === undefined) return [];
-      rollout.look(now);
+      rollout.evaluate(now);
       const state = rollout.dueState(this.#view(rollout, { now, peers }));
-      this.#settle(rollout.order.service, now);
-      const { order, storeVersion } = rollout;
-      return state === undefined ? [] : [{ order, state, storeVersion }];
+      this.#applyPhase(rollout.spec.service, now);
+      const { spec, storeVersion } = rollout;
+      return state === undefined ? [] : [{ order: spec, state, storeVersion }];
     });
   }
 
@@ -332,7 +368,7 @@
     { now, peers }: { readonly now: number; readonly peers: readonly string[] },
   ): RolloutView {
     const ready = this.#parts.directory
-      .of(rollout.order.service)
+      .of(rollout.spec.service)
       .filter((record) => record.isReady);
     const readyOf = (arm: VersionArm) =>
       ready.filter(({ entry }) => rollout.armOf(entry.version) === arm).length;
@@ -346,21 +382,24 @@
 
   #ownRunning(rollout: Rollout): number {
     return this.#parts.directory
-      .everOf(rollout.order.service)
+      .everOf(rollout.spec.service)
       .filter(({ entry }) => rollout.armOf(entry.version) === "baseline")
       .reduce((sum, record) => sum + record.ownRunning, 0);
   }
 
-  #active(): readonly Rollout[] {
+  #currentRollouts(): readonly Rollout[] {
     return [...this.#services.values()]
       .map(({ rollout }) => rollout)
       .filter((rollout) => rollout !== undefined);
   }
 
-  /** The roll-out of an order, begun where it is new; a version is tried once. */
-  #rolloutFor(
-    order: RolloutOrder,
-    found: {
+  /**
+   * The roll-out of a spec, started if the spec is new. A version that was
+   * rolled back is not tried again.
+   */
+  #findOrStart(
+    spec: RolloutOrder,
+    origin: {
       readonly storeVersion: number;
       readonly remainingMilliseconds: number;
       readonly wasRunning: boolean;
@@ -368,40 +407,40 @@
       readonly now: number;
     },
   ): Rollout {
-    const { service, toVersion } = order;
+    const { service, toVersion } = spec;
     const known = this.#services.get(service) ?? NO_VERSIONS;
     const former = known.rollout;
-    if (former?.order.toVersion === toVersion) return former;
-    if (former !== undefined) this.#replace(former, found.now);
+    if (former?.spec.toVersion === toVersion) return former;
+    if (former !== undefined) this.#replaceRollout(former, origin.now);
     const { refused } = this.#services.get(service) ?? NO_VERSIONS;
     const baseline =
-      found.baseline ?? this.#baselineOf(service, toVersion, refused);
-    const place = this.#parts.place(`${service}/${toVersion}`);
+      origin.baseline ?? this.#baselineOf(service, toVersion, refused);
+    const position = this.#parts.place(`${service}/${toVersion}`);
     const rollout = new Rollout({
-      order,
+      spec,
       baseline,
-      storeVersion: found.storeVersion,
-      remainingMilliseconds: found.remainingMilliseconds,
+      storeVersion: origin.storeVersion,
+      remainingMilliseconds: origin.remainingMilliseconds,
       terms: this.#parts.terms(),
-      slack: this.#slackFor(order, { ...found, place }),
-      phase: place.rank / Math.max(1, place.hosts),
-      judge: this.#parts.judge(),
-      now: found.now,
+      slack: this.#slackFor(spec, { ...origin, position }),
+      stagger: position.rank / Math.max(1, position.hosts),
+      evaluator: this.#parts.judge(),
+      now: origin.now,
     });
     this.#set(service, {
       ...known,
       accepted: new Set(baseline),
-      refused: new Set([...refused].filter((one) => one !== toVersion)),
+      refused: new Set([...refused].filter((version) => version !== toVersion)),
       rollout,
       overSince: undefined,
     });
-    if (known.rolledBack === toVersion) rollout.giveUp("rolled_back_before");
-    this.#holding.delete(service);
-    this.#lines.known(rollout, found.now);
+    if (known.rolledBack === toVersion) rollout.rollBack("rolled_back_before");
+    this.#heldBackSince.delete(service);
+    this.#log.started(rollout, origin.now);
     return rollout;
   }
 
-  /** All versions that are listed, but for the target and those rolled back. */
+  /** All listed versions except the target and those that were refused. */
   #baselineOf(
     service: string,
     target: string,
@@ -415,54 +454,54 @@
   }
 
   #slackFor(
-    order: RolloutOrder,
-    found: {
+    spec: RolloutOrder,
+    origin: {
       readonly wasRunning: boolean;
       readonly remainingMilliseconds: number;
-      readonly place: FleetPlace;
+      readonly position: FleetPosition;
       readonly now: number;
     },
   ): number {
-    const { durationMilliseconds } = order;
-    const age = found.wasRunning
+    const { durationMilliseconds } = spec;
+    const age = origin.wasRunning
       ? durationMilliseconds
-      : durationMilliseconds - found.remainingMilliseconds;
-    const upFor = found.now - this.#startedAt;
-    // A former life of this host may have spent it.
-    if (upFor < age + ORDER_AGE_MILLISECONDS) return 0;
-    return slackOf(this.#parts.terms(), found.place);
+      : durationMilliseconds - origin.remainingMilliseconds;
+    const uptime = origin.now - this.#startedAt;
+    // A former incarnation of this host may have used its slack.
+    if (uptime < age + MINIMUM_UPTIME_BEFORE_SPEC_MILLISECONDS) return 0;
+    return slackOfHost(this.#parts.terms(), origin.position);
   }
 
-  #replace(former: Rollout, now: number): void {
+  #replaceRollout(former: Rollout, now: number): void {
     if (former.isOver) return;
-    former.giveUp("replaced");
-    this.#settle(former.order.service, now);
+    former.rollBack("replaced");
+    this.#applyPhase(former.spec.service, now);
   }
 
-  /** Takes in that a roll-out is over, once. */
-  #settle(service: string, now: number): void {
+  /** Applies the effects of a roll-out's phase, each once. */
+  #applyPhase(service: string, now: number): void {
     const known = this.#services.get(service);
     const rollout = known?.rollout;
     if (known === undefined || rollout === undefined) return;
-    if (rollout.phase === "promoting") this.#promotes(rollout, now);
+    if (rollout.phase === "promoting") this.#announcePromotion(rollout, now);
     if (!rollout.isOver) return;
-    this.#promoting.delete(service);
+    this.#announcedPromotions.delete(service);
     if (known.overSince === undefined) {
-      this.#end(service, { known, rollout, now });
-    } else if (now - known.overSince > TOLD_MILLISECONDS) {
-      this.#forget(service, known);
+      this.#endRollout(service, { known, rollout, now });
+    } else if (now - known.overSince > REPORT_LIFETIME_MILLISECONDS) {
+      this.#forgetRollout(service, known);
     }
   }
 
-  #promotes(rollout: Rollout, now: number): void {
-    const { service } = rollout.order;
-    if (this.#promoting.has(service)) return;
-    this.#promoting.add(service);
-    this.#lines.promotes(rollout, now);
+  #announcePromotion(rollout: Rollout, now: number): void {
+    const { service } = rollout.spec;
+    if (this.#announcedPromotions.has(service)) return;
+    this.#announcedPromotions.add(service);
+    this.#log.promoting(rollout, now);
     this.#parts.onPromoting();
   }
 
-  #end(
+  #endRollout(
     service: string,
     over: {
       readonly known: ServiceVersions;
@@ -471,24 +510,24 @@
     },
   ): void {
     const { known, rollout, now } = over;
-    const { toVersion } = rollout.order;
-    const isMoved = rollout.phase === "completed";
-    const left = isMoved ? rollout.baseline : [toVersion];
+    const { toVersion } = rollout.spec;
+    const isCompleted = rollout.phase === "completed";
+    const refused = isCompleted ? rollout.baseline : [toVersion];
     this.#set(service, {
       ...known,
-      accepted: new Set(isMoved ? [toVersion] : rollout.baseline),
-      refused: new Set([...known.refused, ...left]),
-      rolledBack: isMoved ? undefined : toVersion,
+      accepted: new Set(isCompleted ? [toVersion] : rollout.baseline),
+      refused: new Set([...known.refused, ...refused]),
+      rolledBack: isCompleted ? undefined : toVersion,
       overSince: now,
     });
-    this.#lines.over(rollout, now);
+    this.#log.ended(rollout, now);
   }
 
-  #forget(service: string, known: ServiceVersions): void {
+  #forgetRollout(service: string, known: ServiceVersions): void {
     const { rolledBack } = known;
     this.#set(service, {
       ...known,
-      // Servers of a version that was moved from have ended by now.
+      // Servers of a replaced version have ended by now.
       refused: new Set(rolledBack === undefined ? [] : [rolledBack]),
       rollout: undefined,
       storeVersion: known.rollout?.storeVersion ?? known.storeVersion,
@@ -496,15 +535,18 @@
     });
   }
 
-  /** A roll-out that was over before this host knew of it. */
-  #storedOver({ service, toVersion }: RolloutOrder, back: boolean): void {
+  /** Applies a roll-out that was over before this host knew of it. */
+  #applyStoredEnd(
+    { service, toVersion }: RolloutOrder,
+    isRolledBack: boolean,
+  ): void {
     const known = this.#services.get(service) ?? NO_VERSIONS;
     const others = this.#listedVersions(service).filter(
       (version) => version !== toVersion,
     );
-    // A version that is there alone came to stay, whatever was said of it once.
-    if (!back || others.length === 0) return;
-    this.#holding.delete(service);
+    // A version without alternatives is used, even if it was rolled back.
+    if (!isRolledBack || others.length === 0) return;
+    this.#heldBackSince.delete(service);
     this.#set(service, {
       ...known,
       accepted: new Set(others),
@@ -518,59 +560,66 @@
     return [...new Set(entries.map(({ entry }) => entry.version))];
   }
 
-  /** No order speaks of a service: all its versions are met. */
+  /** Accepts all listed versions of a service that no spec names. */
   #acceptListed(service: string): void {
     const known = this.#services.get(service) ?? NO_VERSIONS;
     const listed = this.#listedVersions(service).filter(
       (version) => !known.refused.has(version),
     );
-    this.#holding.delete(service);
+    this.#heldBackSince.delete(service);
     this.#set(service, {
       ...known,
       accepted: new Set([...known.accepted, ...listed]),
     });
-    this.#lines.met(service, listed);
+    this.#log.acceptedWithoutSpec(service, listed);
   }
 
-  /** Servers of versions that are met, where there are others. */
-  #metOf(
+  /**
+   * Servers of accepted versions. Others are used only if no accepted version
+   * has a ready server for a while.
+   */
+  #acceptedRecords(
     service: string,
-    at: { readonly records: readonly ServerRecord[]; readonly now: number },
+    pool: { readonly records: readonly ServerRecord[]; readonly now: number },
   ): readonly ServerRecord[] {
-    const { records, now } = at;
+    const { records, now } = pool;
     const known = this.#services.get(service);
-    const heldSince = this.#holding.get(service);
+    const heldSince = this.#heldBackSince.get(service);
     const isMixed = heldSince !== undefined || (known?.refused.size ?? 0) > 0;
     if (known === undefined || !isMixed) return records;
-    const met = this.#isGuess(service)
-      ? ofMostServers(records)
+    const accepted = this.#isInitialListing(service)
+      ? serversOfMostCommonVersion(records)
       : records.filter(({ entry }) => known.accepted.has(entry.version));
-    const isLeft = met.some((record) => record.isReady);
-    const waited = now - (heldSince ?? now);
-    return isLeft || waited < HELD_BACK_MILLISECONDS
-      ? met
+    const hasReadyServer = accepted.some((record) => record.isReady);
+    const heldBackFor = now - (heldSince ?? now);
+    return hasReadyServer || heldBackFor < MAXIMUM_HOLD_BACK_MILLISECONDS
+      ? accepted
       : records.filter(({ entry }) => !known.refused.has(entry.version));
   }
 
-  /** Whether this host found several versions when it started, and no order yet. */
-  #isGuess(service: string): boolean {
-    const heldSince = this.#holding.get(service);
+  /**
+   * Whether several versions were listed when this host started, and no spec is
+   * known yet.
+   */
+  #isInitialListing(service: string): boolean {
+    const heldSince = this.#heldBackSince.get(service);
     const firstAt = this.#firstListedAt.get(service) ?? -Infinity;
     return (
-      heldSince !== undefined && heldSince - firstAt < FIRST_LIST_MILLISECONDS
+      heldSince !== undefined &&
+      heldSince - firstAt < INITIAL_LISTING_MILLISECONDS
     );
   }
 
   #recordsOf(
     rollout: Rollout,
     arm: VersionArm,
-    at: { readonly records: readonly ServerRecord[]; readonly now: number },
+    pool: { readonly records: readonly ServerRecord[]; readonly now: number },
   ): readonly ServerRecord[] {
-    const records = at.records.filter(
+    const records = pool.records.filter(
       ({ entry }) => rollout.armOf(entry.version) === arm,
     );
     return arm === "target" && rollout.phase === "canary"
-      ? canaryOf(rollout, records, at.now)
+      ? canaryServers(rollout, records, pool.now)
       : records;
   }
 
@@ -579,6 +628,6 @@
   }
 }
 
-function isOver(state: StoredRolloutState | undefined): boolean {
+function isFinal(state: StoredRolloutState | undefined): boolean {
   return state === "completed" || state === "rolled_back";
 }
--- a/packages/rampswitch-serving/src/rollout/rollouts_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts_test.ts
@@ -14,7 +14,7 @@
 
 class Fixture {
   readonly directory = new ServerDirectory();
-  readonly asked: string[] = [];
+  readonly specReads: string[] = [];
   readonly rollouts = new Rollouts(
     {
       directory: this.directory,
@@ -24,7 +24,7 @@
       place: () => ({ rank: 0, hosts: 1 }),
       judge: () => new VersionJudge(),
       onPromoting: () => undefined,
-      onUnknownVersion: () => this.asked.push("orders"),
+      onUnknownVersion: () => this.specReads.push("orders"),
     },
     0,
   );
@@ -47,7 +47,9 @@
     });
   }
 
-  /** Versions that requests go to, drawn often enough to meet each. */
+  /**
+   * Versions that requests go to, with enough requests to reach each version.
+   */
   versions(now: number, requests = 40): readonly string[] {
     const chosen = Array.from({ length: requests }).map(() => {
       const choice = this.rollouts.choice(SERVICE, { isFirst: true, now });
@@ -63,16 +65,19 @@
   }
 }
 
-function order(toVersion: string, state?: StoredRolloutState): StoredRollout {
+function storedRollout(
+  toVersion: string,
+  state?: StoredRolloutState,
+): StoredRollout {
   return {
     order: { service: SERVICE, toVersion, durationMilliseconds: 12_000 },
     state,
   };
 }
 
-function news(toVersion: string, storeVersion: number): RolloutNews {
+function updateOf(toVersion: string, storeVersion: number): RolloutNews {
   return {
-    order: order(toVersion).order,
+    order: storedRollout(toVersion).order,
     baseline: ["v1"],
     storeVersion,
     remainingMilliseconds: 5_000,
@@ -86,7 +91,7 @@
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
-    expect(fixture.asked).toEqual(["orders"]);
+    expect(fixture.specReads).toEqual(["orders"]);
     expect(fixture.versions(LATER)).toEqual(["v1"]);
     fixture.rollouts.read();
     const { first } = fixture.rollouts.choice(SERVICE, {
@@ -126,11 +131,11 @@
   test("the target version gets a share of its own, and all in the end", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
-    fixture.rollouts.stored(order("v2"), 5, LATER);
+    fixture.rollouts.stored(storedRollout("v2"), 5, LATER);
     expect(fixture.versions(LATER)).toEqual(["v1"]);
     fixture.list("v2", 3, LATER);
     expect(fixture.versions(LATER)).toEqual(["v1", "v2"]);
-    fixture.rollouts.stored(order("v2", "completed"), 7, LATER);
+    fixture.rollouts.stored(storedRollout("v2", "completed"), 7, LATER);
     expect(fixture.versions(LATER)).toEqual(["v2"]);
   });
 
@@ -138,33 +143,37 @@
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
-    fixture.rollouts.stored(order("v2", "running"), 5, LATER);
-    fixture.rollouts.stored(order("v2", "rolled_back"), 7, LATER);
+    fixture.rollouts.stored(storedRollout("v2", "running"), 5, LATER);
+    fixture.rollouts.stored(storedRollout("v2", "rolled_back"), 7, LATER);
     expect(fixture.versions(LATER)).toEqual(["v1"]);
-    // The roll-out is forgotten, and a new holder reads the order anew.
+    // The roll-out is forgotten, and a new duty holder reads the spec again.
     fixture.rollouts.news(LATER + 11_000);
-    fixture.rollouts.stored(order("v2", "running"), 8, LATER + 12_000);
+    fixture.rollouts.stored(storedRollout("v2", "running"), 8, LATER + 12_000);
     expect(fixture.versions(LATER + 12_000)).toEqual(["v1"]);
-    // After another order it may be tried again.
-    fixture.rollouts.stored(order("v3"), 9, LATER + 13_000);
-    fixture.rollouts.stored(order("v3", "completed"), 10, LATER + 13_000);
-    fixture.rollouts.stored(order("v2"), 11, LATER + 14_000);
+    // After another spec it may be tried again.
+    fixture.rollouts.stored(storedRollout("v3"), 9, LATER + 13_000);
+    fixture.rollouts.stored(
+      storedRollout("v3", "completed"),
+      10,
+      LATER + 13_000,
+    );
+    fixture.rollouts.stored(storedRollout("v2"), 11, LATER + 14_000);
     expect(fixture.rollouts.news(LATER + 14_000)[0]?.phase).toBe("canary");
   });
 
   test("an order that was over before a host started changes little", () => {
     const moved = new Fixture();
     moved.list("v3", 3);
-    moved.rollouts.stored(order("v2", "completed"), 5, 100);
+    moved.rollouts.stored(storedRollout("v2", "completed"), 5, 100);
     expect(moved.versions(100)).toEqual(["v3"]);
     const back = new Fixture();
     back.list("v1", 1);
     back.list("v2", 3);
-    back.rollouts.stored(order("v2", "rolled_back"), 5, 100);
+    back.rollouts.stored(storedRollout("v2", "rolled_back"), 5, 100);
     expect(back.versions(100)).toEqual(["v1"]);
     const alone = new Fixture();
     alone.list("v2", 3);
-    alone.rollouts.stored(order("v2", "rolled_back"), 5, 100);
+    alone.rollouts.stored(storedRollout("v2", "rolled_back"), 5, 100);
     expect(alone.versions(100)).toEqual(["v2"]);
   });
 
@@ -172,9 +181,9 @@
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
-    fixture.rollouts.stored(order("v2"), 5, LATER);
+    fixture.rollouts.stored(storedRollout("v2"), 5, LATER);
     fixture.list("v3", 3, LATER);
-    fixture.rollouts.stored(order("v3"), 6, LATER);
+    fixture.rollouts.stored(storedRollout("v3"), 6, LATER);
     expect(fixture.versions(LATER)).toEqual(["v1", "v3"]);
     fixture.rollouts.withdrawn(SERVICE, LATER);
     expect(fixture.versions(LATER)).toEqual(["v1"]);
@@ -184,12 +193,12 @@
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
-    fixture.rollouts.stored(order("v2"), 5, LATER);
-    fixture.rollouts.stored(order("v2", "completed"), 6, LATER);
+    fixture.rollouts.stored(storedRollout("v2"), 5, LATER);
+    fixture.rollouts.stored(storedRollout("v2", "completed"), 6, LATER);
     expect(fixture.versions(LATER)).toEqual(["v2"]);
-    fixture.rollouts.stored(order("v1"), 7, LATER + 1);
+    fixture.rollouts.stored(storedRollout("v1"), 7, LATER + 1);
     expect(fixture.versions(LATER + 1)).toEqual(["v1", "v2"]);
-    fixture.rollouts.stored(order("v1", "completed"), 8, LATER + 2);
+    fixture.rollouts.stored(storedRollout("v1", "completed"), 8, LATER + 2);
     expect(fixture.versions(LATER + 2)).toEqual(["v1"]);
   });
 
@@ -197,12 +206,12 @@
     const first = new Fixture();
     first.list("v1", 3);
     first.list("v2", 3, LATER);
-    first.rollouts.stored(order("v2", "running"), 5, LATER);
-    const told = first.rollouts.news(LATER + 5_000);
+    first.rollouts.stored(storedRollout("v2", "running"), 5, LATER);
+    const reported = first.rollouts.news(LATER + 5_000);
     const second = new Fixture();
     second.list("v1", 3);
     second.list("v2", 3);
-    second.rollouts.heard(told, { life: "h/1", now: 200 });
+    second.rollouts.heard(reported, { life: "h/1", now: 200 });
     expect(second.versions(200, 9)).toEqual(["v1"]);
   });
 
@@ -211,28 +220,28 @@
     [first, second].forEach((fixture) => {
       fixture.list("v1", 3);
       fixture.list("v2", 3, LATER);
-      fixture.rollouts.stored(order("v2", "running"), 5, LATER);
+      fixture.rollouts.stored(storedRollout("v2", "running"), 5, LATER);
     });
-    first.rollouts.stored(order("v2", "completed"), 7, LATER);
-    const told = Array.from({ length: 100 }).map((_, round) => {
+    first.rollouts.stored(storedRollout("v2", "completed"), 7, LATER);
+    const reported = Array.from({ length: 100 }).map((_, round) => {
       const now = LATER + round * 400;
-      const news = first.rollouts.news(now);
-      second.rollouts.heard(news, { life: "first/1", now });
+      const updates = first.rollouts.news(now);
+      second.rollouts.heard(updates, { life: "first/1", now });
       first.rollouts.heard(second.rollouts.news(now), {
         life: "second/1",
         now,
       });
-      return news.length;
+      return updates.length;
     });
-    expect(told[0]).toBe(1);
-    expect(told.slice(60)).toEqual(told.slice(60).map(() => 0));
+    expect(reported[0]).toBe(1);
+    expect(reported.slice(60)).toEqual(reported.slice(60).map(() => 0));
     // The platform ends the former servers.
     [0, 1, 2].forEach((index) =>
       second.directory.remove(`v1-${index}`, LATER + 1),
     );
     expect(second.versions(LATER + 40_000)).toEqual(["v2"]);
-    // A host that was cut off since tells of it as if it still ran.
-    const stale = { ...news("v2", 5), phase: "canary" as const };
+    // A host that was cut off in the meantime reports it as still running.
+    const stale = { ...updateOf("v2", 5), phase: "canary" as const };
     second.rollouts.heard([stale], { life: "cut/1", now: LATER + 41_000 });
     expect(second.versions(LATER + 41_000)).toEqual(["v2"]);
   });
@@ -241,7 +250,7 @@
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
-    fixture.rollouts.stored(order("v2"), 5, LATER);
+    fixture.rollouts.stored(storedRollout("v2"), 5, LATER);
     const counted = fixture.directory
       .of(SERVICE)
       .filter((record) => fixture.rollouts.counts(record));
@@ -251,7 +260,7 @@
       "v1",
     ]);
     expect(fixture.rollouts.isMoving(SERVICE)).toBe(true);
-    fixture.rollouts.stored(order("v2", "completed"), 6, LATER);
+    fixture.rollouts.stored(storedRollout("v2", "completed"), 6, LATER);
     expect(fixture.rollouts.isMoving(SERVICE)).toBe(false);
   });
 });
--- a/packages/rampswitch-serving/src/rollout/version_counts.ts
+++ b/packages/rampswitch-serving/src/rollout/version_counts.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * How a version's answers went: counts by route, by server and by class of time,
- * which only grow, so that a lost or doubled message changes nothing. Pure.
+ * Counts a version's answers by route, server and time class. The counts only
+ * grow, so a lost or repeated message between hosts changes nothing. Pure.
  *
  * @module
  */
 
-/** Which of the two versions of a roll-out an answer came from. */
+/** The version of a roll-out that an answer came from. */
 export type VersionArm = "baseline" | "target";
 
 /** One answer of a server. */
@@ -23,22 +23,25 @@
 /** Counts by key; see {@link keyOf}. */
 export type VersionCounts = Readonly<Record<string, number>>;
 
-/** A count with what its key says. */
+/** A count with its decoded key. */
 export interface CountedAnswers {
   readonly arm: VersionArm;
   readonly route: string;
-  /** Told for the target version alone. */
+  /** Empty for the baseline. */
   readonly server: string;
   /** `undefined` for failures. */
   readonly timeClass: number | undefined;
   readonly count: number;
 }
 
-/** Ratio of the bounds of a class of time. */
-const CLASS_RATIO = 1.3;
+/**
+ * Ratio of the upper to the lower bound of a time class. Time classes are the
+ * buckets of a histogram with exponential bounds.
+ */
+const TIME_CLASS_RATIO = 1.3;
 
-/** Longest time that is told apart, in milliseconds. */
-const LONGEST_MILLISECONDS = 60_000;
+/** Longer times fall into the last time class, in milliseconds. */
+const MAXIMUM_TIME_MILLISECONDS = 60_000;
 
 const ARM_MARKS: Readonly<Record<VersionArm, string>> = {
   baseline: "b",
@@ -51,18 +54,21 @@
 const FAILURE_MARK = "f";
 const SEPARATOR = "|";
 
-/** The class that a time falls into. */
+/** The time class that a time falls into. */
 export function timeClassOf(milliseconds: number): number {
-  const told = Math.min(Math.max(milliseconds, 1), LONGEST_MILLISECONDS);
-  return Math.floor(Math.log(told) / Math.log(CLASS_RATIO));
+  const bounded = Math.min(
+    Math.max(milliseconds, 1),
+    MAXIMUM_TIME_MILLISECONDS,
+  );
+  return Math.floor(Math.log(bounded) / Math.log(TIME_CLASS_RATIO));
 }
 
-/** The shortest time of a class, in milliseconds. */
-export function timeOfClass(timeClass: number): number {
-  return CLASS_RATIO ** timeClass;
+/** The lower bound of a time class, in milliseconds. */
+export function lowerBoundOfClass(timeClass: number): number {
+  return TIME_CLASS_RATIO ** timeClass;
 }
 
-/** Counts with one more answer. */
+/** Adds an answer to counts. */
 export function withAnswer(
   counts: VersionCounts,
   answer: VersionAnswer,
@@ -75,13 +81,13 @@
   return [
     ARM_MARKS[answer.arm],
     answer.failed ? FAILURE_MARK : timeClassOf(answer.milliseconds),
-    // The baseline is judged as a whole.
+    // The baseline is evaluated as a whole.
     answer.arm === "target" ? answer.server : "",
     answer.route,
   ].join(SEPARATOR);
 }
 
-/** The sum of counts of different hosts. */
+/** Sums the counts of different hosts. */
 export function sumOf(all: readonly VersionCounts[]): VersionCounts {
   const sum: Record<string, number> = {};
   all
@@ -92,8 +98,8 @@
   return sum;
 }
 
-/** What has come since former counts. */
-export function since(
+/** The counts that were added since former ones. */
+export function countsSince(
   former: VersionCounts,
   counts: VersionCounts,
 ): VersionCounts {
@@ -104,7 +110,7 @@
   );
 }
 
-/** Counts with what their keys say; keys without form are left out. */
+/** Decodes the keys of counts; malformed keys are left out. */
 export function countedAnswers(
   counts: VersionCounts,
 ): readonly CountedAnswers[] {
--- a/packages/rampswitch-serving/src/rollout/version_evaluator.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Judges a version by its answers against those of the version before, over the same
- * time, route by route: whether it is bad, and what badness can be ruled out.
+ * Evaluates a version: compares its answers with those of the baseline over the
+ * same time, route by route. Finds whether the version is bad, and which faults
+ * can be ruled out.
  *
  * @module
  */
@@ -16,37 +17,40 @@
 import {
   type CountedAnswers,
   countedAnswers,
-  since,
+  countsSince,
   timeClassOf,
-  timeOfClass,
+  lowerBoundOfClass,
   type VersionCounts,
 } from "./version_counts.ts";
 
-/** Whether a version may be given all requests, or be the only one. */
+/**
+ * Steps that an evaluation has to allow: to send all requests to the version,
+ * and to make it the only version.
+ */
 export type JudgedStep = "promotion" | "completion";
 
-/** Judges a version from counts that only grow. */
+/** Evaluates a version by counts that only grow. */
 export interface Judge {
-  /** Takes in what is known of the whole fleet. */
+  /** Adds the known answers of the whole fleet. */
   observe(evidence: VersionEvidence): void;
-  /** Why the version is bad; `undefined` while nothing says so. */
+  /** Why the version is bad; `undefined` if no fault was found. */
   readonly fault: VersionFault | undefined;
   /** Whether the version is good enough for a step. */
   allows(step: JudgedStep): boolean;
 }
 
-/** What is known of a version's answers. */
+/** The known answers of a roll-out's versions. */
 export interface VersionEvidence {
-  /** Answers; these only grow. */
+  /** Counts of answers; they only grow. */
   readonly counts: VersionCounts;
-  /** Requests that wait for their answers now, by the time that they have waited. */
+  /** Requests that wait for their answers now, by time waited. */
   readonly waiting: VersionCounts;
 }
 
-/** What showed that a version is bad. */
+/** The test result that shows a version to be bad. */
 export interface VersionFault {
   readonly kind: TestKind;
-  /** `undefined` where all routes together showed it. */
+  /** `undefined` for the test of all routes together. */
   readonly route: string | undefined;
   /** Logarithm of odds. */
   readonly evidence: number;
@@ -54,109 +58,127 @@
   readonly wrong: number;
 }
 
-/** What is wrong with an answer. */
+/** The ways in which an answer can go wrong. */
 export type TestKind =
   | "failed"
-  /** Slower than most answers. */
+  /** Slower than most of the baseline's answers. */
   | "slow"
-  /** Slower than half of them. */
+  /** Slower than half of the baseline's answers. */
   | "slower";
 
 /**
- * Logarithm of odds from which a version is bad: one look in a thousand at a good
- * one shows as much.
+ * Evidence from which a version is bad, as a logarithm of odds. A good version
+ * reaches it in one observation out of a thousand.
  */
-const BAD_EVIDENCE = Math.log(1_000);
+const FAULT_EVIDENCE = Math.log(1_000);
 
-/** The same that servers beside the worst one must tell. */
-const OTHERS_EVIDENCE = Math.log(10);
+/**
+ * Evidence that is also needed without the worst server, as a logarithm of
+ * odds.
+ */
+const OTHER_SERVERS_EVIDENCE = Math.log(10);
 
-/** Raised shares of wrong answers, beyond the usual one. */
-const RAISED_BY: Readonly<Record<TestKind, readonly number[]>> = {
+/** Increases over the expected share of wrong answers that are tested for. */
+const SHARE_INCREASES: Readonly<Record<TestKind, readonly number[]>> = {
   failed: [0.04, 0.15, 0.5, 0.9],
   slow: [0.15, 0.35, 0.6],
   slower: [0.5, 0.7],
 };
 
-/** Least share of wrong answers that a good version is granted. */
-const LEAST_USUAL: Readonly<Record<TestKind, number>> = {
+/** Minimum share of wrong answers that is expected of a good version. */
+const MINIMUM_EXPECTED_SHARES: Readonly<Record<TestKind, number>> = {
   failed: 0.005,
   slow: 0.1,
   slower: 0.2,
 };
 
-/** What makes an answer slow, against the baseline's. */
-interface Slowness {
+/** When an answer is slow, compared with the baseline's answers. */
+interface SlownessThreshold {
   /** Share of the baseline's answers that take longer. */
   readonly share: number;
-  /** Classes of time beyond, which empty caches of a new version explain. */
-  readonly coldClasses: number;
+  /** Additional time classes that the empty caches of a new version explain. */
+  readonly coldCacheClasses: number;
 }
 
 /**
- * Least time by which a slow answer takes longer, in milliseconds: a new connection to
- * a server, and a host that is busy just then.
+ * Minimum delay of a slow answer against the baseline, in milliseconds. A new
+ * connection to a server or a briefly busy host explains a smaller one.
  */
-const NOTICED_MILLISECONDS = 30;
+const MINIMUM_DELAY_MILLISECONDS = 30;
 
-const SLOWNESS: Readonly<Record<"slow" | "slower", Slowness>> = {
-  slow: { share: 0.1, coldClasses: 1 },
-  slower: { share: 0.5, coldClasses: 2 },
+const SLOWNESS_THRESHOLDS: Readonly<
+  Record<"slow" | "slower", SlownessThreshold>
+> = {
+  slow: { share: 0.1, coldCacheClasses: 1 },
+  slower: { share: 0.5, coldCacheClasses: 2 },
 };
 
-/** Answers of the baseline before it says what is usual. */
-const LEAST_BASELINE = 5;
+/** Minimum number of answers of the baseline on a route that is tested. */
+const MINIMUM_BASELINE_ANSWERS = 5;
 
-/** What is held of a baseline before its first answers. */
-const EXPECTED: Readonly<Record<TestKind, Trials>> = {
+/** Trials that are assumed of a baseline before its first answers. */
+const PRIOR_TRIALS: Readonly<Record<TestKind, Trials>> = {
   failed: { answers: 20, wrong: 0.1 },
   slow: { answers: 20, wrong: 1.5 },
   slower: { answers: 20, wrong: 3 },
 };
 
-/** Standard deviations that the baseline's share may be off. */
-const DEVIATIONS = 2;
+/** Margin for the error of the baseline's share, in standard deviations. */
+const MARGIN_DEVIATIONS = 2;
 
-/** Largest share that counts as usual. */
-const MOST_USUAL = 0.6;
+/** Maximum share of wrong answers that is expected of a good version. */
+const MAXIMUM_EXPECTED_SHARE = 0.6;
 
-/** Raised shares that a step must have ruled out, over all routes. */
-const RULED_OUT: Readonly<
+/** Increases that must be ruled out for a step, over all routes together. */
+const RULED_OUT_INCREASES: Readonly<
   Record<JudgedStep, Readonly<Record<TestKind, number>>>
 > = {
   promotion: { failed: 0.25, slow: 0.3, slower: 0.4 },
   completion: { failed: 0.1, slow: 0.15, slower: 0.3 },
 };
 
-/** Raised shares that completion must have ruled out on each larger route. */
-const RULED_OUT_ON_ROUTE: Readonly<Record<TestKind, number>> = {
+/** Increases that must be ruled out for completion, on each larger route. */
+const RULED_OUT_ROUTE_INCREASES: Readonly<Record<TestKind, number>> = {
   failed: 0.3,
   slow: 0.5,
   slower: 0.6,
 };
 
-/** The same on each smaller one, where few answers come. */
-const RULED_OUT_ON_SMALL_ROUTE = 0.85;
+/**
+ * The increase that must be ruled out on each small route, which gets few
+ * answers.
+ */
+const RULED_OUT_SMALL_ROUTE_INCREASE = 0.85;
 
-/** Raised share of failures that must not be likelier than the usual one. */
-const LEANING = 0.04;
+/**
+ * A step needs this increase in the share of failures to be less likely than
+ * none.
+ */
+const MINOR_FAILURE_INCREASE = 0.04;
 
-/** Looks that are kept apart; older ones are taken together in pairs. */
-const MOST_LOOKS = 40;
+/**
+ * Maximum number of observations; beyond it the older ones are merged in pairs.
+ */
+const MAXIMUM_OBSERVATIONS = 40;
 
-/** Looks in which answers come that were sent with those that still wait. */
-const RECENT_LOOKS = 4;
+/**
+ * Number of recent observations that hold the answers to requests sent at about
+ * the same time as those that still wait.
+ */
+const RECENT_OBSERVATIONS = 4;
 
-/** Odds with which they must be ruled out. */
-const RULED_OUT_EVIDENCE = Math.log(20);
+/**
+ * Evidence with which an increase must be ruled out, as a logarithm of odds.
+ */
+const RULE_OUT_EVIDENCE = Math.log(20);
 
-/** Routes with a smaller share of all answers are judged with the others. */
-const LEAST_ROUTE_SHARE = 0.03;
+/** Routes with a smaller share of all answers are not tested. */
+const MINIMUM_ROUTE_SHARE = 0.03;
 
 /** Routes with a smaller share of all answers are small ones. */
 const SMALL_ROUTE_SHARE = 0.1;
 
-/** Stands for all routes together. */
+/** Name of the test of all routes together. */
 const ALL_ROUTES = "";
 
 const TEST_KINDS = [
@@ -165,13 +187,15 @@
   "slower",
 ] as const satisfies readonly TestKind[];
 
-/** What the baseline says of answers on one route. */
+/**
+ * The baseline's answers on one route, as the measure for the target version's.
+ */
 interface RouteBaseline {
   readonly route: string;
-  /** Part that the route has of all answers. */
+  /** The route's share of all answers. */
   readonly share: number;
-  readonly usual: Readonly<Record<TestKind, number>>;
-  /** First classes of time that are slow. */
+  readonly expectedShares: Readonly<Record<TestKind, number>>;
+  /** The lowest time classes that are slow. */
   readonly slowFrom: Readonly<Record<"slow" | "slower", number>>;
 }
 
@@ -180,52 +204,61 @@
   readonly route: string;
   readonly share: number;
   readonly trials: ServerTrials;
-  readonly usual: number;
+  readonly expectedShare: number;
 }
 
-/** The sequential test. */
+/** Evaluates a version by sequential tests. */
 export class VersionJudge implements Judge {
   #counts: VersionCounts = {};
-  /** What came at each look, since the baseline tells late what is usual. */
-  #looks: readonly (readonly CountedAnswers[])[] = [];
+  /**
+   * Answers of each observation. They are tested again every time, since what
+   * to expect is known only after enough answers of the baseline.
+   */
+  #observations: readonly (readonly CountedAnswers[])[] = [];
   #tests: readonly VersionTest[] = [];
-  /** Servers of the version that were sent anything. */
+  /** Servers of the version that were sent requests. */
   readonly #servers = new Set<string>();
   #fault: VersionFault | undefined;
 
-  /** Why the version is bad. */
+  /** Why the version is bad; `undefined` if no fault was found. */
   get fault(): VersionFault | undefined {
     return this.#fault;
   }
 
-  /** Takes in what is known of the whole fleet. */
+  /** Adds the known answers of the whole fleet and runs all tests. */
   observe({ counts, waiting }: VersionEvidence): void {
-    const news = countedAnswers(since(this.#counts, counts));
+    const newAnswers = countedAnswers(countsSince(this.#counts, counts));
     this.#counts = counts;
-    const ofTarget = news.filter(({ arm }) => arm === "target");
-    if (ofTarget.length > 0) {
-      this.#looks = thinned([...this.#looks, ofTarget]);
+    const targetAnswers = newAnswers.filter(({ arm }) => arm === "target");
+    if (targetAnswers.length > 0) {
+      this.#observations = mergeOldest([...this.#observations, targetAnswers]);
     }
-    const waits = countedAnswers(waiting);
-    [...ofTarget, ...waits].forEach(({ server }) => this.#servers.add(server));
-    if (this.#looks.length === 0 && waits.length === 0) return;
+    const waitingRequests = countedAnswers(waiting);
+    [...targetAnswers, ...waitingRequests].forEach(({ server }) =>
+      this.#servers.add(server),
+    );
+    if (this.#observations.length === 0 && waitingRequests.length === 0) return;
     const baselines = baselinesOf(countedAnswers(counts));
-    const late = lateOnes(waits, baselines);
-    this.#tests = testsOf([...this.#looks.flat(), ...late], baselines);
-    // Those that came with the late ones were told by the last few looks.
-    const looks = [
-      ...this.#looks.slice(0, -RECENT_LOOKS),
-      [...this.#looks.slice(-RECENT_LOOKS).flat(), ...late],
-    ].map((look) => testsOf(look, baselines));
+    const overdue = overdueRequests(waitingRequests, baselines);
+    this.#tests = testsOf(
+      [...this.#observations.flat(), ...overdue],
+      baselines,
+    );
+    // The answers to requests sent together with the overdue ones arrived in
+    // the recent observations, so these are tested as one.
+    const testsByObservation = [
+      ...this.#observations.slice(0, -RECENT_OBSERVATIONS),
+      [...this.#observations.slice(-RECENT_OBSERVATIONS).flat(), ...overdue],
+    ].map((observation) => testsOf(observation, baselines));
     this.#tests.forEach((test, index) =>
-      this.#look(
+      this.#runTest(
         test,
-        looks.flatMap((tests) => tests[index]?.trials ?? []),
+        testsByObservation.flatMap((tests) => tests[index]?.trials ?? []),
       ),
     );
   }
 
-  /** Whether enough is ruled out for a step. */
+  /** Whether enough faults are ruled out for a step. */
   allows(step: JudgedStep): boolean {
     if (this.#fault !== undefined) return false;
     const ofAll = this.#tests.filter(({ route }) => route === ALL_ROUTES);
@@ -234,27 +267,35 @@
     );
     return (
       ofAll.length === TEST_KINDS.length &&
-      ofAll.every((test) => isRuledOut(test, RULED_OUT[step][test.kind])) &&
-      onRoutes.every((test) => isRuledOut(test, routeRaise(test))) &&
-      ofAll.every((test) => !leansToBad(test))
+      ofAll.every((test) =>
+        isRuledOut(test, RULED_OUT_INCREASES[step][test.kind]),
+      ) &&
+      onRoutes.every((test) => isRuledOut(test, ruledOutRouteIncrease(test))) &&
+      ofAll.every((test) => !suggestsFailures(test))
     );
   }
 
-  /** A version of one server is judged by that one, though not by a chance. */
-  #isEnough({ evidence, evidenceOfOthers }: ChangeDetector): boolean {
-    if (evidence < BAD_EVIDENCE) return false;
+  /**
+   * A version with a single server is evaluated by that server alone, but on
+   * stronger evidence.
+   */
+  #showsFault({
+    evidence,
+    evidenceWithoutWorstServer: evidenceOfOthers,
+  }: ChangeDetector): boolean {
+    if (evidence < FAULT_EVIDENCE) return false;
     return this.#servers.size > 1
-      ? evidenceOfOthers >= OTHERS_EVIDENCE
-      : evidence >= 2 * BAD_EVIDENCE;
+      ? evidenceOfOthers >= OTHER_SERVERS_EVIDENCE
+      : evidence >= 2 * FAULT_EVIDENCE;
   }
 
-  #look(test: VersionTest, trials: readonly ServerTrials[]): void {
+  #runTest(test: VersionTest, trials: readonly ServerTrials[]): void {
     if (test.trials.wrong === 0) return;
-    RAISED_BY[test.kind].forEach((raise) => {
+    SHARE_INCREASES[test.kind].forEach((increase) => {
       const detector = new ChangeDetector();
-      const told = hypotheses(test.usual, raise);
-      trials.forEach((of) => detector.observe(of, told));
-      if (!this.#isEnough(detector)) return;
+      const shares = hypotheses(test.expectedShare, increase);
+      trials.forEach((observed) => detector.observe(observed, shares));
+      if (!this.#showsFault(detector)) return;
       this.#fault ??= {
         kind: test.kind,
         route: test.route === ALL_ROUTES ? undefined : test.route,
@@ -266,58 +307,81 @@
   }
 }
 
-/** Requests that have waited for longer than answers usually take are slow ones. */
-function lateOnes(
+/**
+ * Requests that have waited for longer than answers usually take; they count as
+ * slow.
+ */
+function overdueRequests(
   waiting: readonly CountedAnswers[],
   baselines: readonly RouteBaseline[],
 ): readonly CountedAnswers[] {
   return waiting.filter(({ route, timeClass = 0 }) => {
-    const baseline = baselines.find((one) => one.route === route);
+    const baseline = baselines.find((candidate) => candidate.route === route);
     return baseline !== undefined && timeClass >= baseline.slowFrom.slow;
   });
 }
 
-/** Takes the older looks together in pairs where there are many. */
-function thinned(
-  looks: readonly (readonly CountedAnswers[])[],
+/** Merges the older half of the observations in pairs if there are too many. */
+function mergeOldest(
+  observations: readonly (readonly CountedAnswers[])[],
 ): readonly (readonly CountedAnswers[])[] {
-  if (looks.length <= MOST_LOOKS) return looks;
-  const half = looks.slice(0, MOST_LOOKS / 2);
-  const pairs = half
+  if (observations.length <= MAXIMUM_OBSERVATIONS) return observations;
+  const older = observations.slice(0, MAXIMUM_OBSERVATIONS / 2);
+  const pairs = older
     .filter((_, index) => index % 2 === 0)
-    .map((look, index) => [...look, ...(half[2 * index + 1] ?? [])]);
-  return [...pairs, ...looks.slice(MOST_LOOKS / 2)];
+    .map((observation, index) => [
+      ...observation,
+      ...(older[2 * index + 1] ?? []),
+    ]);
+  return [...pairs, ...observations.slice(MAXIMUM_OBSERVATIONS / 2)];
 }
 
-function routeRaise({ kind, share }: VersionTest): number {
+function ruledOutRouteIncrease({ kind, share }: VersionTest): number {
   return share < SMALL_ROUTE_SHARE
-    ? RULED_OUT_ON_SMALL_ROUTE
-    : RULED_OUT_ON_ROUTE[kind];
+    ? RULED_OUT_SMALL_ROUTE_INCREASE
+    : RULED_OUT_ROUTE_INCREASES[kind];
 }
 
-function leansToBad({ kind, trials, usual }: VersionTest): boolean {
-  const told = hypotheses(usual, LEANING);
+function suggestsFailures({
+  kind,
+  trials,
+  expectedShare,
+}: VersionTest): boolean {
+  const shares = hypotheses(expectedShare, MINOR_FAILURE_INCREASE);
   return (
-    kind === "failed" && logLikelihoodRatio(withoutWorst(trials), told) > 0
+    kind === "failed" &&
+    logLikelihoodRatio(withoutWorstServer(trials), shares) > 0
   );
 }
 
-function hypotheses(usual: number, raise: number): Hypotheses {
-  return { usual, raised: Math.min(0.99, usual + raise) };
+function hypotheses(expectedShare: number, increase: number): Hypotheses {
+  return {
+    expectedShare,
+    raisedShare: Math.min(0.99, expectedShare + increase),
+  };
 }
 
-function isRuledOut(test: VersionTest, raise: number): boolean {
+function isRuledOut(test: VersionTest, increase: number): boolean {
   const ratio = logLikelihoodRatio(
-    withoutWorst(test.trials),
-    hypotheses(test.usual, raise),
+    withoutWorstServer(test.trials),
+    hypotheses(test.expectedShare, increase),
   );
-  return ratio <= -RULED_OUT_EVIDENCE;
+  return ratio <= -RULE_OUT_EVIDENCE;
 }
 
-/** Answers without those of the server that went wrong most, where it is one of several. */
-function withoutWorst({ answers, wrong, byServer }: ServerTrials): Trials {
+/**
+ * Trials without those of the server with the most wrong answers. With fewer
+ * than three servers, or less than two wrong answers of that server, all trials
+ * count.
+ */
+function withoutWorstServer({
+  answers,
+  wrong,
+  byServer,
+}: ServerTrials): Trials {
   const worst = [...byServer.values()].reduce(
-    (most, trials) => (trials.wrong > most.wrong ? trials : most),
+    (worstSoFar, trials) =>
+      trials.wrong > worstSoFar.wrong ? trials : worstSoFar,
     { answers: 0, wrong: 0 },
   );
   return byServer.size < 3 || worst.wrong < 2
@@ -325,7 +389,7 @@
     : { answers: answers - worst.answers, wrong: wrong - worst.wrong };
 }
 
-/** What the baseline says of the routes on which it has answers enough. */
+/** The baselines of all routes with enough answers. */
 function baselinesOf(all: readonly CountedAnswers[]): readonly RouteBaseline[] {
   const routes = [...new Set(all.map(({ route }) => route))];
   return routes.flatMap((route) => {
@@ -333,7 +397,8 @@
     const answers = all.filter(
       (answer) => answer.arm === "baseline" && answer.route === route,
     );
-    return share < LEAST_ROUTE_SHARE || total(answers) < LEAST_BASELINE
+    return share < MINIMUM_ROUTE_SHARE ||
+      total(answers) < MINIMUM_BASELINE_ANSWERS
       ? []
       : [baselineOf(route, share, answers)];
   });
@@ -345,20 +410,20 @@
   answers: readonly CountedAnswers[],
 ): RouteBaseline {
   const slowFrom = {
-    slow: firstSlowClass(answers, SLOWNESS.slow),
-    slower: firstSlowClass(answers, SLOWNESS.slower),
+    slow: firstSlowClass(answers, SLOWNESS_THRESHOLDS.slow),
+    slower: firstSlowClass(answers, SLOWNESS_THRESHOLDS.slower),
   };
-  const usualOf = (kind: TestKind) =>
-    usualShare(
+  const expectedShareOf = (kind: TestKind) =>
+    expectedShare(
       kind,
       trialsOf(answers, (answer) => isWrong(kind, answer, slowFrom)),
     );
-  const usual = {
-    failed: usualOf("failed"),
-    slow: usualOf("slow"),
-    slower: usualOf("slower"),
+  const expectedShares = {
+    failed: expectedShareOf("failed"),
+    slow: expectedShareOf("slow"),
+    slower: expectedShareOf("slower"),
   };
-  return { route, share, usual, slowFrom };
+  return { route, share, expectedShares, slowFrom };
 }
 
 function isWrong(
@@ -377,14 +442,16 @@
   baselines: readonly RouteBaseline[],
 ): readonly VersionTest[] {
   const tests = baselines.flatMap((baseline) => {
-    const { route, share, usual, slowFrom } = baseline;
+    const { route, share, expectedShares, slowFrom } = baseline;
     const ofRoute = answers.filter((answer) => answer.route === route);
     return TEST_KINDS.map((kind) => ({
       kind,
       route,
       share,
-      trials: byServerOf(ofRoute, (answer) => isWrong(kind, answer, slowFrom)),
-      usual: usual[kind],
+      trials: serverTrialsOf(ofRoute, (answer) =>
+        isWrong(kind, answer, slowFrom),
+      ),
+      expectedShare: expectedShares[kind],
     }));
   });
   const pooled = TEST_KINDS.flatMap((kind) =>
@@ -393,14 +460,17 @@
   return [...pooled, ...tests];
 }
 
-/** One test of all routes, each with the share that is usual on it. */
+/**
+ * One test of all routes together. The expected share is the mean of the
+ * routes' shares, weighted by their answers.
+ */
 function pooledTest(tests: readonly VersionTest[]): readonly VersionTest[] {
   const [first] = tests;
   if (first === undefined) return [];
   const answers = sumOver(tests, ({ trials }) => trials.answers);
   const weighted = sumOver(
     tests,
-    ({ trials, usual }) => trials.answers * usual,
+    ({ trials, expectedShare }) => trials.answers * expectedShare,
   );
   const servers = tests.flatMap(({ trials }) => [...trials.byServer]);
   const ids = [...new Set(servers.map(([id]) => id))];
@@ -423,16 +493,16 @@
       route: ALL_ROUTES,
       share: 1,
       trials: { answers, wrong, byServer },
-      usual: answers === 0 ? first.usual : weighted / answers,
+      expectedShare: answers === 0 ? first.expectedShare : weighted / answers,
     },
   ];
 }
 
 function sumOver<Item>(
   items: readonly Item[],
-  figure: (item: Item) => number,
+  valueOf: (item: Item) => number,
 ): number {
-  return items.reduce((sum, item) => sum + figure(item), 0);
+  return items.reduce((sum, item) => sum + valueOf(item), 0);
 }
 
 function trialsOf(
@@ -442,7 +512,7 @@
   return { answers: total(answers), wrong: total(answers.filter(isWrong)) };
 }
 
-function byServerOf(
+function serverTrialsOf(
   answers: readonly CountedAnswers[],
   isWrong: (answer: CountedAnswers) => boolean,
 ): ServerTrials {
@@ -461,33 +531,40 @@
   };
 }
 
-/** The share that a good version may have, with what the baseline leaves open. */
-function usualShare(kind: TestKind, { answers, wrong }: Trials): number {
-  const expected = EXPECTED[kind];
-  const all = answers + expected.answers;
-  const share = (wrong + expected.wrong) / all;
-  const off = DEVIATIONS * Math.sqrt((share * (1 - share)) / all);
-  return Math.min(MOST_USUAL, Math.max(LEAST_USUAL[kind], share + off));
+/**
+ * The expected share of wrong answers of a good version, including the margin
+ * for the baseline's error.
+ */
+function expectedShare(kind: TestKind, { answers, wrong }: Trials): number {
+  const expected = PRIOR_TRIALS[kind];
+  const total = answers + expected.answers;
+  const share = (wrong + expected.wrong) / total;
+  const margin = MARGIN_DEVIATIONS * Math.sqrt((share * (1 - share)) / total);
+  return Math.min(
+    MAXIMUM_EXPECTED_SHARE,
+    Math.max(MINIMUM_EXPECTED_SHARES[kind], share + margin),
+  );
 }
 
-/** The first class of time that makes an answer slow. */
+/** The lowest time class that makes an answer slow. */
 function firstSlowClass(
   baseline: readonly CountedAnswers[],
-  { share, coldClasses }: Slowness,
+  { share, coldCacheClasses }: SlownessThreshold,
 ): number {
   const timed = baseline.filter(({ timeClass }) => timeClass !== undefined);
-  const few = total(timed) * share;
+  const maximumSlower = total(timed) * share;
   const classes = [...new Set(timed.map(({ timeClass = 0 }) => timeClass))];
   const last = classes
     .toSorted((left, right) => left - right)
     .find(
       (one) =>
-        total(timed.filter(({ timeClass = 0 }) => timeClass > one)) <= few,
+        total(timed.filter(({ timeClass = 0 }) => timeClass > one)) <=
+        maximumSlower,
     );
   if (last === undefined) return Infinity;
   const first = last + 1;
-  const noticed = timeOfClass(first) + NOTICED_MILLISECONDS;
-  return Math.max(first + coldClasses, timeClassOf(noticed) + 1);
+  const minimumSlow = lowerBoundOfClass(first) + MINIMUM_DELAY_MILLISECONDS;
+  return Math.max(first + coldCacheClasses, timeClassOf(minimumSlow) + 1);
 }
 
 function shareOf(route: string, all: readonly CountedAnswers[]): number {
--- a/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
@@ -5,12 +5,15 @@
 import { type VersionCounts, withAnswer } from "./version_counts.ts";
 import { VersionJudge } from "./version_evaluator.ts";
 
-interface Played {
+interface SimulatedVersion {
   readonly seed: number;
-  readonly looks: number;
-  /** Answers of the target version at each look; the baseline has ten times more. */
+  readonly observations: number;
+  /**
+   * Answers of the target version in each observation; the baseline has ten
+   * times as many.
+   */
   readonly answers: number;
-  /** Whether an answer fails, and how much longer it takes. */
+  /** Whether an answer fails, and the factor by which it takes longer. */
   readonly target: (
     server: string,
     look: number,
@@ -20,19 +23,24 @@
 
 const GOOD = { failed: false, factor: 1 };
 
-/** Judges a version of three servers and two routes. */
-function judgeOf({ seed, looks, answers, target }: Played): VersionJudge {
+/** Evaluates a version of three servers and two routes. */
+function evaluatorAfter({
+  seed,
+  observations,
+  answers,
+  target,
+}: SimulatedVersion): VersionJudge {
   const random = seededRandom(seed);
-  const judge = new VersionJudge();
+  const evaluator = new VersionJudge();
   let counts: VersionCounts = {};
   const time = () => 100 * Math.exp(random.next() + random.next() - 1);
-  Array.from({ length: looks }).forEach((_, look) => {
+  Array.from({ length: observations }).forEach((_, observation) => {
     Array.from({ length: answers * 11 }).forEach((__, index) => {
       const isTarget = index % 11 === 0;
       const server = `s${random.below(3)}`;
       const route = random.next() < 0.3 ? "reviews" : "questions";
       const { failed, factor } = isTarget
-        ? target(server, look, () => random.next())
+        ? target(server, observation, () => random.next())
         : { failed: random.next() < 0.004, factor: 1 };
       counts = withAnswer(counts, {
         arm: isTarget ? "target" : "baseline",
@@ -42,51 +50,63 @@
         milliseconds: time() * factor,
       });
     });
-    judge.observe({ counts, waiting: {} });
+    evaluator.observe({ counts, waiting: {} });
   });
-  return judge;
+  return evaluator;
 }
 
 const SEEDS = Array.from({ length: 20 }, (_, index) => index + 1);
 
 describe("judge of a version", () => {
   test("finds no fault in good ones, and allows each step", () => {
-    const judges = SEEDS.map((seed) =>
-      judgeOf({ seed, looks: 20, answers: 5, target: () => GOOD }),
+    const evaluators = SEEDS.map((seed) =>
+      evaluatorAfter({
+        seed,
+        observations: 20,
+        answers: 5,
+        target: () => GOOD,
+      }),
     );
-    expect(judges.map(({ fault }) => fault)).toEqual(
+    expect(evaluators.map(({ fault }) => fault)).toEqual(
       SEEDS.map(() => undefined),
     );
-    expect(judges.every((judge) => judge.allows("promotion"))).toBe(true);
-    expect(judges.every((judge) => judge.allows("completion"))).toBe(true);
+    expect(evaluators.every((evaluator) => evaluator.allows("promotion"))).toBe(
+      true,
+    );
+    expect(
+      evaluators.every((evaluator) => evaluator.allows("completion")),
+    ).toBe(true);
   });
 
   test("finds failures and slow answers, also those that begin late", () => {
     const faults = SEEDS.flatMap((seed) => [
-      judgeOf({
+      evaluatorAfter({
         seed,
-        looks: 20,
+        observations: 20,
         answers: 5,
-        target: (_, look, draw) => ({
+        target: (_, observation, draw) => ({
           ...GOOD,
-          failed: look > 10 && draw() < 0.3,
+          failed: observation > 10 && draw() < 0.3,
         }),
       }).fault?.kind,
-      judgeOf({
+      evaluatorAfter({
         seed,
-        looks: 20,
+        observations: 20,
         answers: 5,
-        target: (_, look) => ({ ...GOOD, factor: look > 10 ? 3 : 1 }),
+        target: (_, observation) => ({
+          ...GOOD,
+          factor: observation > 10 ? 3 : 1,
+        }),
       }).fault,
     ]);
     expect(faults).not.toContain(undefined);
   });
 
   test("takes one server's failures for that server's fault", () => {
-    const judges = SEEDS.map((seed) =>
-      judgeOf({
+    const evaluators = SEEDS.map((seed) =>
+      evaluatorAfter({
         seed,
-        looks: 20,
+        observations: 20,
         answers: 5,
         target: (server, _, draw) => ({
           ...GOOD,
@@ -94,14 +114,15 @@
         }),
       }),
     );
-    expect(judges.map(({ fault }) => fault)).toEqual(
+    expect(evaluators.map(({ fault }) => fault)).toEqual(
       SEEDS.map(() => undefined),
     );
   });
 
-  // On real processes answers took a millisecond or two, and the first ones of a new
-  // version one more, for a connection: a good version was taken back, 14 of 23 answers
-  // of one route being slower than half of those before.
+  // Guards against the rollback of a good version of a fast service. Answers
+  // took a millisecond or two, and the first ones of a new version one more for
+  // a new connection: 14 of 23 answers of one route were slower than half of
+  // the baseline's, and the version was rolled back.
   test("takes some milliseconds more for nothing", () => {
     const random = seededRandom(6);
     const answers = (arm: "baseline" | "target", milliseconds: number) =>
@@ -116,17 +137,17 @@
       ...answers("baseline", 1.2),
       ...answers("target", 4),
     ].reduce<VersionCounts>(withAnswer, {});
-    const judge = new VersionJudge();
-    judge.observe({ counts, waiting: {} });
-    expect(judge.fault).toBeUndefined();
-    expect(judge.allows("completion")).toBe(true);
+    const evaluator = new VersionJudge();
+    evaluator.observe({ counts, waiting: {} });
+    expect(evaluator.fault).toBeUndefined();
+    expect(evaluator.allows("completion")).toBe(true);
   });
 
   test("allows nothing before there are answers", () => {
-    const judge = new VersionJudge();
-    judge.observe({ counts: {}, waiting: {} });
-    expect(judge.allows("promotion")).toBe(false);
-    expect(judge.allows("completion")).toBe(false);
+    const evaluator = new VersionJudge();
+    evaluator.observe({ counts: {}, waiting: {} });
+    expect(evaluator.allows("promotion")).toBe(false);
+    expect(evaluator.allows("completion")).toBe(false);
   });
 
   test("counts requests that wait for long, before their answers come", () => {
@@ -153,8 +174,8 @@
         }),
       {},
     );
-    const judge = new VersionJudge();
-    judge.observe({ counts: baseline, waiting });
-    expect(judge.fault?.kind).toBe("slow");
+    const evaluator = new VersionJudge();
+    evaluator.observe({ counts: baseline, waiting });
+    expect(evaluator.fault?.kind).toBe("slow");
   });
 });
--- a/packages/rampswitch-serving/src/rollout/version_servers.ts
+++ b/packages/rampswitch-serving/src/rollout/version_servers.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which servers stand for a version. Pure.
+ * Selects the servers that are used for a version. Pure.
  *
  * @module
  */
@@ -9,11 +9,17 @@
 import type { ServerRecord } from "../choice/mod.ts";
 import type { Rollout } from "./rollout.ts";
 
-/** Fewest servers of a canary: one that fails alone is not the version's fault. */
-const LEAST_CANARY_SERVERS = 2;
+/**
+ * Minimum number of canary servers: a failure of one server alone is not a
+ * fault of its version.
+ */
+const MINIMUM_CANARY_SERVERS = 2;
 
-/** Servers of the version that has most; of equals, the first by name. */
-export function ofMostServers(
+/**
+ * Servers of the version with the most servers; on a tie, of the version that
+ * is first by name.
+ */
+export function serversOfMostCommonVersion(
   records: readonly ServerRecord[],
 ): readonly ServerRecord[] {
   const versions = [...new Set(records.map(({ entry }) => entry.version))];
@@ -25,10 +31,10 @@
 }
 
 /**
- * The canary's servers, the same at all hosts: as few as carry the load that each
- * would carry after the promotion.
+ * The canary's servers, the same on all hosts. There are just enough of them
+ * that each carries the load that it would carry after the promotion.
  */
-export function canaryOf(
+export function canaryServers(
   rollout: Rollout,
   records: readonly ServerRecord[],
   now: number,
@@ -37,11 +43,11 @@
     (record) => record.isReady && !record.isEjected(now),
   );
   const count = Math.max(
-    LEAST_CANARY_SERVERS,
+    MINIMUM_CANARY_SERVERS,
     Math.ceil(rollout.share * records.length),
   );
   const byId = new Map(working.map((record) => [record.entry.id, record]));
-  return rendezvousOrder(rollout.order.toVersion, [...byId.keys()])
+  return rendezvousOrder(rollout.spec.toVersion, [...byId.keys()])
     .slice(0, count)
     .flatMap((id) => byId.get(id) ?? []);
 }
