--- a/packages/rampswitch-serving/src/rollout/change_detector.ts
+++ b/packages/rampswitch-serving/src/rollout/change_detector.ts
@@ -48,27 +48,26 @@
  */
 export class ChangeDetector {
   /** Cumulative sums by the server that each leaves out. */
-  readonly #sumsWithoutServer = new Map<string, number>([[NO_SERVER, 0]]);
+  readonly #sums = new Map<string, number>([[NO_SERVER, 0]]);
   readonly #servers = new Set<string>();
 
   /** Adds the answers since the last observation. */
   observe(trials: ServerTrials, hypotheses: Hypotheses): void {
-    const sumOfAll = this.#sumsWithoutServer.get(NO_SERVER) ?? 0;
+    const total = this.#sums.get(NO_SERVER) ?? 0;
     trials.byServer.forEach(({ wrong }, server) => {
       this.#servers.add(server);
-      if (wrong > 0 && !this.#sumsWithoutServer.has(server))
-        this.#sumsWithoutServer.set(server, sumOfAll);
+      if (wrong > 0 && !this.#sums.has(server)) this.#sums.set(server, total);
     });
-    [...this.#sumsWithoutServer].forEach(([server, sum]) => {
+    [...this.#sums].forEach(([server, sum]) => {
       const included = withoutServer(trials, server);
       const ratio = logLikelihoodRatio(included, hypotheses);
-      this.#sumsWithoutServer.set(server, Math.max(0, sum + ratio));
+      this.#sums.set(server, Math.max(0, sum + ratio));
     });
   }
 
   /** Evidence for a change, as a logarithm of odds. */
   get evidence(): number {
-    return this.#sumsWithoutServer.get(NO_SERVER) ?? 0;
+    return this.#sums.get(NO_SERVER) ?? 0;
   }
 
   /**
@@ -76,9 +75,7 @@
    * only one server.
    */
   get evidenceWithoutWorstServer(): number {
-    return this.#servers.size > 1
-      ? Math.min(...this.#sumsWithoutServer.values())
-      : 0;
+    return this.#servers.size > 1 ? Math.min(...this.#sums.values()) : 0;
   }
 }
 
--- a/packages/rampswitch-serving/src/rollout/exposure_budget.ts
+++ b/packages/rampswitch-serving/src/rollout/exposure_budget.ts
@@ -33,7 +33,7 @@
   return Math.floor(usable / hosts) + (position.rank < remainder ? 1 : 0);
 }
 
-/** Share of its slack that a canary may use at once. */
+/** Share of its slack that a canary may use from the start. */
 const INITIAL_SLACK_SHARE = 0.5;
 
 /** Limits of what a canary may be sent. */
--- a/packages/rampswitch-serving/src/rollout/exposure_budget_test.ts
+++ b/packages/rampswitch-serving/src/rollout/exposure_budget_test.ts
@@ -23,7 +23,7 @@
 }
 
 describe("exposure of one host", () => {
-  test("keeps the share and its slack, whatever is asked in which order", () => {
+  test("stays within the share and the slack for any order of sends", () => {
     fc.assert(
       fc.property(
         fc.array(fc.constantFrom("canary" as const, "all" as const), {
@@ -42,7 +42,7 @@
     );
   });
 
-  test("leaves most of the share for the promotion", () => {
+  test("reserves most of the share for the promotion", () => {
     const budget = new ExposureBudget(TERMS, { slack: 0, stagger: 0 });
     simulate(
       budget,
@@ -52,7 +52,7 @@
     expect(Math.floor(budget.remainingTargetSends)).toBe(55);
   });
 
-  test("spends its slack bit by bit", () => {
+  test("releases its slack gradually", () => {
     const budget = new ExposureBudget(TERMS, { slack: 8, stagger: 0 });
     const first = { share: 0, elapsedShare: 0 };
     const sendAll = (canary: typeof first) => {
@@ -66,7 +66,7 @@
 });
 
 describe("slack of the fleet", () => {
-  test("is shared out whole among few hosts and many, and never exceeded", () => {
+  test("is divided completely among any number of hosts, and never exceeded", () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 400 }), (hosts) => {
         const all = Array.from({ length: hosts }, (_, rank) =>
--- a/packages/rampswitch-serving/src/rollout/rollout.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout.ts
@@ -316,9 +316,9 @@
     let isPending = true;
     const settle = () => {
       this.#waiting.delete(send);
-      const counts = isPending && !this.isOver;
+      const isCounted = isPending && !this.isOver;
       isPending = false;
-      return counts;
+      return isCounted;
     };
     return {
       answered: ({ failed, now }) => {
@@ -336,7 +336,7 @@
     if (this.isOver) return;
     this.#evaluator.observe(this.evidence(now));
     if (this.#evaluator.fault !== undefined)
-      this.#advanceTo("rolled_back", "judged_bad");
+      this.#enter("rolled_back", "judged_bad");
   }
 
   /**
@@ -346,7 +346,7 @@
     if (update.order.toVersion !== this.spec.toVersion) return;
     if (incarnation !== undefined) this.#peers.set(incarnation, update);
     this.#storeVersion = Math.max(this.#storeVersion, update.storeVersion);
-    this.#advanceTo(update.phase, "told");
+    this.#enter(update.phase, "told");
   }
 
   /** Applies the stored state, as of a version of the spec's entry. */
@@ -354,16 +354,16 @@
     if (storeVersion < this.#storeVersion) return;
     this.#storeVersion = storeVersion;
     this.#stored = state;
-    if (state !== undefined) this.#advanceTo(PHASE_BY_STATE[state], "stored");
+    if (state !== undefined) this.#enter(PHASE_BY_STATE[state], "stored");
   }
 
   /** Ends the roll-out and keeps the baseline. */
   rollBack(reason: RolloutReason): void {
-    this.#advanceTo("rolled_back", reason);
+    this.#enter("rolled_back", reason);
   }
 
   /** Number of other hosts that reported to have left the baseline. */
-  get peersOffBaseline(): number {
+  get peersOffBaselineCount(): number {
     return [...this.#peers.keys()].filter((incarnation) =>
       this.#hasPeerLeftBaseline(incarnation),
     ).length;
@@ -375,7 +375,7 @@
   }
 
   /** The update for other hosts; `running` is `undefined` on relays. */
-  updateFor(now: number, running: number | undefined): RolloutNews {
+  updateAt(now: number, running: number | undefined): RolloutNews {
     return {
       order: this.spec,
       baseline: this.baseline,
@@ -438,10 +438,8 @@
     if (overtime > 0 && view.ready.target === 0) this.rollBack("no_servers");
     else if (overtime > maximumOvertime) this.rollBack("not_judged");
     else if (this.baseline.length === 0) {
-      if (view.ready.target > 0)
-        this.#advanceTo("promoting", "nothing_to_move");
-    } else if (this.#canPromote(view))
-      this.#advanceTo("promoting", "judged_good");
+      if (view.ready.target > 0) this.#enter("promoting", "nothing_to_move");
+    } else if (this.#canPromote(view)) this.#enter("promoting", "judged_good");
   }
 
   #canPromote(view: RolloutView): boolean {
@@ -483,7 +481,7 @@
     );
   }
 
-  #advanceTo(phase: RolloutPhase, reason: RolloutReason): void {
+  #enter(phase: RolloutPhase, reason: RolloutReason): void {
     if (PHASE_RANKS[phase] <= PHASE_RANKS[this.#phase]) return;
     this.#phase = phase;
     this.#reason = reason;
@@ -506,7 +504,7 @@
 const NO_ARM: Arms = { first: undefined, fallback: undefined };
 
 const ARMS_BY_PHASE: Readonly<
-  Record<RolloutPhase, (terms: ArmConditions) => Arms>
+  Record<RolloutPhase, (conditions: ArmConditions) => Arms>
 > = {
   canary: canaryArms,
   promoting: promotingArms,
--- a/packages/rampswitch-serving/src/rollout/rollout_log.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_log.ts
@@ -24,13 +24,13 @@
     this.#parts = parts;
   }
 
-  /** A version that no known spec names is held back. */
+  /** Logs that a version is held back, since no known spec names it. */
   heldBack(service: string, version: string): void {
     this.#parts.metrics.event("version_held_back");
     this.#parts.logger.info("version held back", { service, version });
   }
 
-  /** Versions that no spec names are accepted. */
+  /** Logs that versions are accepted, since no spec names them. */
   acceptedWithoutSpec(service: string, versions: readonly string[]): void {
     this.#parts.logger.info("versions met without an order", {
       service,
@@ -38,12 +38,12 @@
     });
   }
 
-  /** A request is sent to one of the versions of a roll-out. */
+  /** Counts a send to one of the versions of a roll-out. */
   sent(arm: VersionArm): void {
     this.#parts.metrics.event(`rollout_sent_${arm}`);
   }
 
-  /** A roll-out starts on this host. */
+  /** Logs that a roll-out started on this host. */
   started(rollout: Rollout, now: number): void {
     this.#parts.metrics.event("rollout_started");
     this.#parts.logger.info("roll-out known", {
@@ -54,7 +54,7 @@
     });
   }
 
-  /** All hosts are to send every request to the target version. */
+  /** Logs that a promotion began: all hosts send everything to the target. */
   promoting(rollout: Rollout, now: number): void {
     this.#parts.metrics.event("rollout_promoting");
     this.#parts.logger.info("roll-out promotes", {
@@ -65,7 +65,7 @@
     });
   }
 
-  /** A roll-out has ended; the line holds the reason. */
+  /** Logs that a roll-out ended, and why. */
   ended(rollout: Rollout, now: number): void {
     const { fault } = rollout;
     this.#parts.metrics.event(`rollout_${rollout.phase}`);
--- a/packages/rampswitch-serving/src/rollout/rollout_store.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store.ts
@@ -90,7 +90,7 @@
     this.#watcher.resume();
   }
 
-  /** A version appeared that no known spec names. */
+  /** Reads the specs soon, since a version appeared that no known spec names. */
   unknownVersion(): void {
     this.#listReads.hurry();
   }
--- a/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
@@ -105,15 +105,15 @@
   }
 }
 
-describe("orders in the store", () => {
-  test("cost a host nothing that holds no duties and meets no new version", async () => {
+describe("roll-out specs in the store", () => {
+  test("are not read by a host without duties and without new versions", async () => {
     await using fixture = new Fixture();
     await fixture.pass(200_000);
     await fixture.pass(200_000);
     expect(fixture.lists).toBe(0);
   });
 
-  test("are read once by the holder, and when a version turns up", async () => {
+  test("are read once by a new duty holder", async () => {
     await using fixture = new Fixture();
     fixture.isHolder = true;
     fixture.store.follow();
@@ -122,7 +122,7 @@
     expect(fixture.rollouts.news(fixture.clock.now())[0]?.order).toEqual(SPEC);
   });
 
-  test("a state whose answer is lost is neither stored twice nor forgotten", async () => {
+  test("a state is neither stored twice nor forgotten if the answer is lost", async () => {
     await using fixture = new Fixture();
     fixture.rollouts.stored(
       { order: SPEC, state: undefined },
--- a/packages/rampswitch-serving/src/rollout/rollout_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_test.ts
@@ -87,15 +87,15 @@
   return rollout;
 }
 
-describe("roll-out at the holder of the duties", () => {
-  test("stores that it runs, once", () => {
+describe("roll-out on the duty holder", () => {
+  test("stores the running state once", () => {
     const rollout = rolloutOf({ fault: undefined, allows: false });
     expect(rollout.dueState(viewOf({ now: 10 }))).toBe("running");
     rollout.stored("running", 6);
     expect(rollout.dueState(viewOf({ now: 20 }))).toBeUndefined();
   });
 
-  test("promotes a good version near the end of its time, not before", () => {
+  test("promotes a good version shortly before the deadline, not earlier", () => {
     const rollout = rolloutOf({ fault: undefined, allows: true });
     rollout.dueState(viewOf({ now: 20_000 }));
     expect(rollout.phase).toBe("canary");
@@ -103,7 +103,7 @@
     expect(rollout.phase).toBe("promoting");
   });
 
-  test("waits where the new servers carry too little, or nothing is known", () => {
+  test("waits while the target version has too few servers or is unevaluated", () => {
     const few = rolloutOf({ fault: undefined, allows: true });
     few.dueState(viewOf({ ready: { baseline: 4, target: 2 } }));
     expect(few.phase).toBe("canary");
@@ -112,7 +112,7 @@
     expect(unevaluated.phase).toBe("canary");
   });
 
-  test("completes once everybody has left the baseline", () => {
+  test("completes once all hosts have left the baseline", () => {
     const rollout = promoting({ fault: undefined, allows: true });
     expect(rollout.dueState(viewOf({ running: 1 }))).not.toBe("completed");
     expect(rollout.dueState(viewOf({}))).not.toBe("completed");
@@ -124,7 +124,7 @@
     expect(rollout.dueState(viewOf({}))).toBe("completed");
   });
 
-  test("gives up what has no servers in time, and what nobody could judge", () => {
+  test("rolls back a version without servers, and one that stays unevaluated", () => {
     const withoutServers = rolloutOf({ fault: undefined, allows: false });
     const none = { baseline: 4, target: 0 };
     withoutServers.dueState(viewOf({ now: 29_000, ready: none }));
@@ -138,7 +138,7 @@
     expect(unevaluated.reason).toBe("not_judged");
   });
 
-  test("completes an order for what is there already", () => {
+  test("completes a spec for the only version that is there", () => {
     const rollout = rolloutOf({ fault: undefined, allows: false }, []);
     rollout.dueState(viewOf({ now: 0, peers: [] }));
     expect(rollout.reason).toBe("nothing_to_move");
@@ -149,8 +149,8 @@
   });
 });
 
-describe("roll-out at any host", () => {
-  test("stops by itself on what it knows, and on anybody's word", () => {
+describe("roll-out on any host", () => {
+  test("rolls back on its own evaluation, and on the report of any host", () => {
     const state: EvaluatorState = { fault: undefined, allows: true };
     const evaluated = rolloutOf(state);
     state.fault = FAULT;
@@ -165,7 +165,7 @@
     expect(informed.phase).toBe("rolled_back");
   });
 
-  test("sends what failed once to the version that is known", () => {
+  test("sends a request that failed once to the baseline", () => {
     const rollout = rolloutOf({ fault: undefined, allows: true });
     expect(rollout.arms({ isFirst: true, now: 0 }).first).toBe("target");
     expect(rollout.arms({ isFirst: false, now: 0 })).toEqual({
@@ -174,7 +174,7 @@
     });
   });
 
-  test("does not go back to a baseline that it told to have left", () => {
+  test("does not return to a baseline that it reported to have left", () => {
     const rollout = promoting({ fault: undefined, allows: true });
     expect(rollout.hasLeftBaseline(28_900, 0)).toBe(true);
     const firsts = Array.from({ length: 200 }).map(() => {
@@ -193,12 +193,12 @@
     );
   });
 
-  test("keeps its share, and what was rolled back stays so, whatever it hears", () => {
+  test("stays within its share, and stays rolled back, whatever it receives", () => {
     const step = fc.oneof(
       fc.constant({ kind: "send" as const }),
-      fc.constant({ kind: "look" as const }),
+      fc.constant({ kind: "evaluate" as const }),
       fc.record({
-        kind: fc.constant("hear" as const),
+        kind: fc.constant("receive" as const),
         phase: fc.constantFrom("canary", "promoting", "rolled_back"),
       }),
       fc.record({
@@ -229,7 +229,7 @@
                 });
               }
               expect(wasRolledBack && first === "target").toBe(false);
-            } else if (one.kind === "hear") {
+            } else if (one.kind === "receive") {
               rollout.receive(updateOf({ phase: one.phase }), INCARNATION);
             } else if (one.kind === "store") {
               rollout.stored(one.state, one.version);
--- a/packages/rampswitch-serving/src/rollout/rollouts.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts.ts
@@ -261,7 +261,7 @@
       this.#applyPhase(rollout.spec.service, now);
     });
     return current.map((rollout) =>
-      rollout.updateFor(now, this.#ownRunning(rollout)),
+      rollout.updateAt(now, this.#ownRunning(rollout)),
     );
   }
 
@@ -277,7 +277,7 @@
     const progress = promoting
       .map((rollout) => [
         rollout.hasLeftBaseline(now, this.#ownRunning(rollout)),
-        rollout.peersOffBaseline,
+        rollout.peersOffBaselineCount,
       ])
       .join(",");
     const isNews = progress !== this.#lastProgress;
@@ -288,7 +288,7 @@
   /** The updates of a relay about the fleet for its members. */
   word(now: number): readonly RolloutNews[] {
     return this.#currentRollouts().map((rollout) =>
-      rollout.updateFor(now, undefined),
+      rollout.updateAt(now, undefined),
     );
   }
 
--- a/packages/rampswitch-serving/src/rollout/rollouts_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts_test.ts
@@ -86,8 +86,8 @@
   };
 }
 
-describe("versions without an order", () => {
-  test("a version that turns up gets nothing until the orders were read", () => {
+describe("versions without a roll-out spec", () => {
+  test("a new version gets no requests until the specs were read", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
@@ -101,7 +101,7 @@
     expect(first).toHaveLength(6);
   });
 
-  test("an order that can't be read keeps it back, others' orders do not", () => {
+  test("a version is held back while the spec of its service can't be decoded", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
@@ -110,7 +110,7 @@
     expect(fixture.versions(LATER)).toEqual(["v1"]);
   });
 
-  test("where no other is left, it is used after a while", () => {
+  test("a held-back version is used after a while if no other has servers", () => {
     const fixture = new Fixture();
     fixture.list("v1", 1);
     fixture.list("v2", 1, LATER);
@@ -119,7 +119,7 @@
     expect(fixture.versions(LATER + 2_100)).toEqual(["v2"]);
   });
 
-  test("a host that finds several at its start takes that of most servers", () => {
+  test("a host that finds several at its start uses the one with most servers", () => {
     const fixture = new Fixture();
     fixture.list("v2", 2);
     fixture.list("v1", 3);
@@ -127,8 +127,8 @@
   });
 });
 
-describe("versions with an order", () => {
-  test("the target version gets a share of its own, and all in the end", () => {
+describe("versions with a roll-out spec", () => {
+  test("the target version gets a share, and all requests after completion", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.rollouts.stored(storedRollout("v2"), 5, LATER);
@@ -139,7 +139,7 @@
     expect(fixture.versions(LATER)).toEqual(["v2"]);
   });
 
-  test("a version that was rolled back stays so, and is not tried twice", () => {
+  test("a version stays rolled back, and is not tried again", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
@@ -161,7 +161,7 @@
     expect(fixture.rollouts.news(LATER + 14_000)[0]?.phase).toBe("canary");
   });
 
-  test("an order that was over before a host started changes little", () => {
+  test("a roll-out from before the start excludes no version without alternatives", () => {
     const moved = new Fixture();
     moved.list("v3", 3);
     moved.rollouts.stored(storedRollout("v2", "completed"), 5, 100);
@@ -177,7 +177,7 @@
     expect(alone.versions(100)).toEqual(["v2"]);
   });
 
-  test("a second order takes the first one's place; a withdrawn one ends", () => {
+  test("a second spec replaces the first one, and a withdrawn one ends", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
@@ -189,7 +189,7 @@
     expect(fixture.versions(LATER)).toEqual(["v1"]);
   });
 
-  test("an order back to the version before is one as any other", () => {
+  test("a spec may return to the previous version", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
@@ -202,7 +202,7 @@
     expect(fixture.versions(LATER + 2)).toEqual(["v1"]);
   });
 
-  test("hosts tell each other of it, and a new host spends no slack", () => {
+  test("hosts receive a roll-out from others, and a new host uses no slack", () => {
     const first = new Fixture();
     first.list("v1", 3);
     first.list("v2", 3, LATER);
@@ -215,7 +215,7 @@
     expect(second.versions(200, 9)).toEqual(["v1"]);
   });
 
-  test("what is over is told for a while, and not for ever", () => {
+  test("a roll-out that is over is reported for a limited time", () => {
     const [first, second] = [new Fixture(), new Fixture()];
     [first, second].forEach((fixture) => {
       fixture.list("v1", 3);
@@ -246,7 +246,7 @@
     expect(second.versions(LATER + 41_000)).toEqual(["v2"]);
   });
 
-  test("servers that are still judged don't count for the capacity", () => {
+  test("servers of an unevaluated version don't count towards the capacity", () => {
     const fixture = new Fixture();
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
--- a/packages/rampswitch-serving/src/rollout/version_evaluator.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator.ts
@@ -18,8 +18,8 @@
   type CountedAnswers,
   countedAnswers,
   countsSince,
-  timeClassOf,
   lowerBoundOfClass,
+  timeClassOf,
   type VersionCounts,
 } from "./version_counts.ts";
 
@@ -151,8 +151,8 @@
 const RULED_OUT_SMALL_ROUTE_INCREASE = 0.85;
 
 /**
- * A step needs this increase in the share of failures to be less likely than
- * none.
+ * No step is allowed while this increase in the share of failures is likelier
+ * than the expected share.
  */
 const MINOR_FAILURE_INCREASE = 0.04;
 
@@ -281,11 +281,11 @@
    */
   #showsFault({
     evidence,
-    evidenceWithoutWorstServer: evidenceOfOthers,
+    evidenceWithoutWorstServer,
   }: ChangeDetector): boolean {
     if (evidence < FAULT_EVIDENCE) return false;
     return this.#servers.size > 1
-      ? evidenceOfOthers >= OTHER_SERVERS_EVIDENCE
+      ? evidenceWithoutWorstServer >= OTHER_SERVERS_EVIDENCE
       : evidence >= 2 * FAULT_EVIDENCE;
   }
 
@@ -414,7 +414,7 @@
     slower: firstSlowClass(answers, SLOWNESS_THRESHOLDS.slower),
   };
   const expectedShareOf = (kind: TestKind) =>
-    expectedShare(
+    expectedShareFrom(
       kind,
       trialsOf(answers, (answer) => isWrong(kind, answer, slowFrom)),
     );
@@ -476,12 +476,14 @@
   const ids = [...new Set(servers.map(([id]) => id))];
   const byServer = new Map(
     ids.map((id) => {
-      const trials = servers.filter(([one]) => one === id).map(([, of]) => of);
+      const trials = servers
+        .filter(([server]) => server === id)
+        .map(([, counted]) => counted);
       return [
         id,
         {
-          answers: sumOver(trials, (of) => of.answers),
-          wrong: sumOver(trials, (of) => of.wrong),
+          answers: sumOver(trials, (counted) => counted.answers),
+          wrong: sumOver(trials, (counted) => counted.wrong),
         },
       ];
     }),
@@ -535,11 +537,12 @@
  * The expected share of wrong answers of a good version, including the margin
  * for the baseline's error.
  */
-function expectedShare(kind: TestKind, { answers, wrong }: Trials): number {
-  const expected = PRIOR_TRIALS[kind];
-  const total = answers + expected.answers;
-  const share = (wrong + expected.wrong) / total;
-  const margin = MARGIN_DEVIATIONS * Math.sqrt((share * (1 - share)) / total);
+function expectedShareFrom(kind: TestKind, { answers, wrong }: Trials): number {
+  const prior = PRIOR_TRIALS[kind];
+  const allAnswers = answers + prior.answers;
+  const share = (wrong + prior.wrong) / allAnswers;
+  const margin =
+    MARGIN_DEVIATIONS * Math.sqrt((share * (1 - share)) / allAnswers);
   return Math.min(
     MAXIMUM_EXPECTED_SHARE,
     Math.max(MINIMUM_EXPECTED_SHARES[kind], share + margin),
@@ -557,8 +560,8 @@
   const last = classes
     .toSorted((left, right) => left - right)
     .find(
-      (one) =>
-        total(timed.filter(({ timeClass = 0 }) => timeClass > one)) <=
+      (candidate) =>
+        total(timed.filter(({ timeClass = 0 }) => timeClass > candidate)) <=
         maximumSlower,
     );
   if (last === undefined) return Infinity;
--- a/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
@@ -57,8 +57,8 @@
 
 const SEEDS = Array.from({ length: 20 }, (_, index) => index + 1);
 
-describe("judge of a version", () => {
-  test("finds no fault in good ones, and allows each step", () => {
+describe("version evaluator", () => {
+  test("finds no fault in good versions, and allows each step", () => {
     const evaluators = SEEDS.map((seed) =>
       evaluatorAfter({
         seed,
@@ -78,7 +78,7 @@
     ).toBe(true);
   });
 
-  test("finds failures and slow answers, also those that begin late", () => {
+  test("finds failures and slow answers, also if they begin late", () => {
     const faults = SEEDS.flatMap((seed) => [
       evaluatorAfter({
         seed,
@@ -102,7 +102,7 @@
     expect(faults).not.toContain(undefined);
   });
 
-  test("takes one server's failures for that server's fault", () => {
+  test("attributes the failures of one server to that server", () => {
     const evaluators = SEEDS.map((seed) =>
       evaluatorAfter({
         seed,
@@ -123,7 +123,7 @@
   // took a millisecond or two, and the first ones of a new version one more for
   // a new connection: 14 of 23 answers of one route were slower than half of
   // the baseline's, and the version was rolled back.
-  test("takes some milliseconds more for nothing", () => {
+  test("tolerates a delay of a few milliseconds", () => {
     const random = seededRandom(6);
     const answers = (arm: "baseline" | "target", milliseconds: number) =>
       Array.from({ length: 60 }).map((_, index) => ({
@@ -143,14 +143,14 @@
     expect(evaluator.allows("completion")).toBe(true);
   });
 
-  test("allows nothing before there are answers", () => {
+  test("allows no step without answers", () => {
     const evaluator = new VersionJudge();
     evaluator.observe({ counts: {}, waiting: {} });
     expect(evaluator.allows("promotion")).toBe(false);
     expect(evaluator.allows("completion")).toBe(false);
   });
 
-  test("counts requests that wait for long, before their answers come", () => {
+  test("counts overdue requests before their answers arrive", () => {
     const random = seededRandom(4);
     const baseline = Array.from({ length: 300 }).reduce<VersionCounts>(
       (counts) =>
