--- a/packages/rampswitch-serving/src/rollout/rollout_spec.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_spec.ts
@@ -44,7 +44,7 @@
    * entry.
    */
   storeState(
-    order: RolloutOrder,
+    spec: RolloutOrder,
     state: StoredRolloutState,
     version: number,
   ): Promise<Result<StoredObject, StoreError>>;
--- a/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
@@ -32,7 +32,7 @@
   constructor() {
     this.#store = new RolloutStore({
       rollouts: this.rollouts,
-      orders: this.#orders(),
+      orders: this.#adapter(),
       store: this.#objects(),
       clock: this.clock,
       random: seededRandom(1),
@@ -61,7 +61,7 @@
     return { key: KEY, version: this.version, value: JSON.stringify(state) };
   }
 
-  #orders(): RolloutOrders {
+  #adapter(): RolloutOrders {
     return {
       prefix: "rollouts/",
       decode: (_, value) =>
