--- a/packages/rampswitch-serving/src/rollout/rollouts.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts.ts
@@ -39,8 +39,8 @@
    */
   place(key: string): FleetPosition;
   /**
-   * Called when a promotion begins. Its progress has to be checked by {@link
-   * Rollouts.leaving} until the promotion ends.
+   * Called when a promotion begins. Its progress has to be checked by
+   * {@link Rollouts.leaving} until the promotion ends.
    */
   onPromoting(): void;
   /** Creates the evaluator of one roll-out. */
