--- a/packages/rampswitch-serving/src/rollout/mod.ts
+++ b/packages/rampswitch-serving/src/rollout/mod.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Roll-outs: a service's traffic is moved onto servers of another version, judged
- * on the way, and taken back if the version is bad.
+ * Roll-outs: a service's traffic is shifted to servers of another version. The
+ * version is evaluated on the way, and rolled back if it is bad.
  *
  * @module
  */
@@ -12,8 +12,12 @@
   RolloutOrders,
   StoredRollout,
   StoredRolloutState,
-} from "./rollout_order.ts";
-export type { RolloutNews, RolloutWork, SentRequest } from "./rollout.ts";
+} from "./rollout_spec.ts";
+export type {
+  RolloutNews,
+  RolloutProgress as RolloutWork,
+  SentRequest,
+} from "./rollout.ts";
 export { type DueState, Rollouts, type VersionChoice } from "./rollouts.ts";
 export {
   type CountedAnswers,
@@ -27,5 +31,5 @@
   type VersionEvidence,
   type VersionFault,
   VersionJudge,
-} from "./version_judge.ts";
+} from "./version_evaluator.ts";
 export { RolloutStore } from "./rollout_store.ts";
--- a/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
@@ -5,20 +5,20 @@
 import { ManualClock, seededRandom, SILENT_LOGGER } from "rampswitch-utils";
 import type { ObjectStore, StoredObject, StoreError } from "rampswitch-store";
 import { ServingMetrics } from "../observation/mod.ts";
-import type { RolloutOrders, StoredRolloutState } from "./rollout_order.ts";
+import type { RolloutOrders, StoredRolloutState } from "./rollout_spec.ts";
 import { loneRollouts } from "./rollout_standin.ts";
 import { RolloutStore } from "./rollout_store.ts";
 import type { Rollouts } from "./rollouts.ts";
 
 const SERVICE = "models";
 const KEY = `rollouts/${SERVICE}`;
-const ORDER = {
+const SPEC = {
   service: SERVICE,
   toVersion: "v2",
   durationMilliseconds: 12_000,
 };
 
-/** A store with one order, which may lose answers. */
+/** A store with one spec, which may lose answers. */
 class Fixture implements AsyncDisposable {
   readonly clock = new ManualClock(100_000);
   readonly rollouts: Rollouts = loneRollouts();
@@ -32,7 +32,7 @@
   constructor() {
     this.#store = new RolloutStore({
       rollouts: this.rollouts,
-      orders: this.#orders(),
+      orders: this.#adapter(),
       store: this.#objects(),
       clock: this.clock,
       random: seededRandom(1),
@@ -61,12 +61,12 @@
     return { key: KEY, version: this.version, value: JSON.stringify(state) };
   }
 
-  #orders(): RolloutOrders {
+  #adapter(): RolloutOrders {
     return {
       prefix: "rollouts/",
       decode: (_, value) =>
         Result.ok({
-          order: ORDER,
+          order: SPEC,
           state: (JSON.parse(value) as StoredRolloutState | null) ?? undefined,
         }),
       storeState: (_, state, version) => {
@@ -105,27 +105,27 @@
   }
 }
 
-describe("orders in the store", () => {
-  test("cost a host nothing that holds no duties and meets no new version", async () => {
+describe("roll-out specs in the store", () => {
+  test("are not read by a host without duties and without new versions", async () => {
     await using fixture = new Fixture();
     await fixture.pass(200_000);
     await fixture.pass(200_000);
     expect(fixture.lists).toBe(0);
   });
 
-  test("are read once by the holder, and when a version turns up", async () => {
+  test("are read once by a new duty holder", async () => {
     await using fixture = new Fixture();
     fixture.isHolder = true;
     fixture.store.follow();
     await fixture.pass(200);
     expect(fixture.lists).toBe(1);
-    expect(fixture.rollouts.news(fixture.clock.now())[0]?.order).toEqual(ORDER);
+    expect(fixture.rollouts.news(fixture.clock.now())[0]?.order).toEqual(SPEC);
   });
 
-  test("a state whose answer is lost is neither stored twice nor forgotten", async () => {
+  test("a state is neither stored twice nor forgotten if the answer is lost", async () => {
     await using fixture = new Fixture();
     fixture.rollouts.stored(
-      { order: ORDER, state: undefined },
+      { order: SPEC, state: undefined },
       fixture.version,
       fixture.clock.now(),
     );
