--- a/packages/rampswitch-emulator/src/emulated_fleet.ts
+++ b/packages/rampswitch-emulator/src/emulated_fleet.ts
@@ -12,9 +12,9 @@
   chooseServer,
   ArrivalRates,
   HoldTimes,
-  KnownPlaces,
-  shareWithPlaces,
-  PrefixKnowledge,
+  SlotTotalsCache,
+  admittedShare,
+  PrefixCacheEstimate,
   ServerRecord,
   type WorkAtServer,
 } from "rampswitch-serving";
@@ -70,10 +70,10 @@
 interface Host {
   readonly dataHall: string;
   readonly records: readonly ServerRecord[];
-  readonly prefixes: PrefixKnowledge;
+  readonly prefixes: PrefixCacheEstimate;
   readonly holdTimes: HoldTimes;
   readonly arrivalRates: ArrivalRates;
-  readonly places: KnownPlaces;
+  readonly places: SlotTotalsCache;
 }
 
 interface Outcome {
@@ -133,14 +133,14 @@
       { length: run.engines },
       () => new EmulatedEngine(run.shape.engine, everRead),
     );
-    const shared = new PrefixKnowledge();
+    const shared = new PrefixCacheEstimate();
     this.#hosts = Array.from({ length: run.shape.hosts }, (_, index) => ({
       dataHall: this.#hall(index),
       records: this.#engines.map((_engine, at) => this.#record(at)),
-      prefixes: this.#isDirect ? shared : new PrefixKnowledge(),
+      prefixes: this.#isDirect ? shared : new PrefixCacheEstimate(),
       holdTimes: new HoldTimes(),
       arrivalRates: new ArrivalRates(0),
-      places: new KnownPlaces(),
+      places: new SlotTotalsCache(),
     }));
   }
 
@@ -225,23 +225,23 @@
       engine: {
         slots: engine.slots,
         memoryTokens: engine.memoryTokens,
-        movable: true,
+        migratable: true,
         copyTokensPerMillisecond: undefined,
       },
       parts,
       promptTokens,
       readingRate: engine.readTokensPerMillisecond,
       excluded: new Set(),
-      ownConnections: Infinity,
-      leavingMilliseconds: 0,
-      hearsDispatches: this.#isDirect,
+      maximumOwnRequests: Infinity,
+      leavingGraceMilliseconds: 0,
+      receivesDispatches: this.#isDirect,
       draw: () => this.#random.next(),
     });
     if (outcome.kind !== "chosen") {
       this.#outcomes.push({ kind: drawn.kind, at, milliseconds: undefined });
       return;
     }
-    const { record, keptTokens } = outcome.choice;
+    const { record, cachedTokens: keptTokens } = outcome.choice;
     const chosen = this.#engines[host.records.indexOf(record)];
     if (chosen === undefined) return;
     host.prefixes.stored(record.entry.id, parts, engine.memoryTokens);
@@ -251,7 +251,7 @@
       drawn,
       priority: drawn.kind.priority,
       onFirstPart: (firstAt) => {
-        work.readPrompt();
+        work.prefillEnded();
         beganAt = firstAt;
         this.#outcomes.push({
           kind: drawn.kind,
@@ -264,7 +264,7 @@
       },
       onEnd: (endedAt) => {
         work.ended();
-        host.holdTimes.measured(SERVICE, endedAt - beganAt);
+        host.holdTimes.addMeasurement(SERVICE, endedAt - beganAt);
       },
     });
     this.#step(chosen);
@@ -273,8 +273,8 @@
   /** Share of the requests that a host takes now. */
   #share(host: Host, { kind }: DrawnRequest): number {
     const news = this.#isDirect ? NEWS.direct : NEWS.relayed;
-    const arrivals = host.arrivalRates.noted(SERVICE, this.#now);
-    return shareWithPlaces(
+    const arrivals = host.arrivalRates.addArrival(SERVICE, this.#now);
+    return admittedShare(
       host.places.of(SERVICE, this.#now, () =>
         host.records
           .filter((record) => record.isReady)
@@ -331,9 +331,10 @@
       told.reduce<WorkAtServer>(
         (sum, host) => ({
           running: sum.running + (host[at]?.running ?? 0),
-          unreadTokens: sum.unreadTokens + (host[at]?.unreadTokens ?? 0),
+          pendingPrefillTokens:
+            sum.pendingPrefillTokens + (host[at]?.pendingPrefillTokens ?? 0),
         }),
-        { running: 0, unreadTokens: 0 },
+        { running: 0, pendingPrefillTokens: 0 },
       ),
     );
     this.#hosts.forEach(({ records }, host) =>
@@ -343,9 +344,10 @@
         if (own === undefined || sum === undefined) return;
         const beside = {
           running: sum.running - own.running,
-          unreadTokens: sum.unreadTokens - own.unreadTokens,
+          pendingPrefillTokens:
+            sum.pendingPrefillTokens - own.pendingPrefillTokens,
         };
-        record.heardPeer(FLEET, beside, this.#now);
+        record.receivePeerWork(FLEET, beside, this.#now);
       }),
     );
   }
--- a/packages/rampswitch-emulator/src/emulated_limits.ts
+++ b/packages/rampswitch-emulator/src/emulated_limits.ts
@@ -7,12 +7,12 @@
  * @module
  */
 import {
-  LimitBook,
+  LimitTable,
   ServingMetrics,
-  TurnLedger,
-  TurnLenders,
-  type TurnUrgency,
-  TurnWaits,
+  PermitLedger,
+  PermitLenders,
+  type PermitUrgency,
+  PermitWaits,
 } from "rampswitch-serving";
 import { LEARNT_MILLISECONDS, NamedLimits } from "rampswitch-standins";
 import {
@@ -80,10 +80,10 @@
 }
 
 interface HostState {
-  readonly book: LimitBook;
-  readonly lenders: TurnLenders;
-  readonly ledger: TurnLedger;
-  readonly waits: TurnWaits;
+  readonly book: LimitTable;
+  readonly lenders: PermitLenders;
+  readonly ledger: PermitLedger;
+  readonly waits: PermitWaits;
   readonly heard: Map<string, number>;
 }
 
@@ -168,20 +168,20 @@
 
   #start(host: Host): void {
     const state: HostState = {
-      book: new LimitBook({
+      book: new LimitTable({
         logger: SILENT_LOGGER,
         metrics: new ServingMetrics(),
-        onLower: () => this.#tell(host, state),
+        onLowered: () => this.#tell(host, state),
       }),
-      lenders: new TurnLenders(host.name),
-      ledger: new TurnLedger(),
-      waits: new TurnWaits(),
+      lenders: new PermitLenders(host.name),
+      ledger: new PermitLedger(),
+      waits: new PermitWaits(),
       heard: new Map(),
     };
     host.state = state;
     this.#hosts
       .filter((other) => other !== host)
-      .forEach(({ name }) => state.lenders.expected(name, this.#now));
+      .forEach(({ name }) => state.lenders.expectHost(name, this.#now));
     this.#tellLater(host, state);
   }
 
@@ -211,8 +211,8 @@
     const limited = book.isEmpty ? [] : [SERVICE];
     const holders = this.#holders(host, state);
     const seen = { services: limited, holders };
-    lenders.look(seen, this.#now, this.#pace);
-    const news = book.news(this.#now, { ownOnly: false });
+    lenders.updateLoans(seen, this.#now, this.#pace);
+    const news = book.updates(this.#now, { ownOnly: false });
     const said = { at: this.#now, lentTo: lenders.lentTo };
     this.#hosts
       .filter((other) => other !== host && this.#reaches(host, other))
@@ -225,9 +225,9 @@
             other.state.heard.set(host.name, said.at);
             const pace = this.#pace;
             const word = { lentTo: said.lentTo, stopping: false };
-            other.state.lenders.heard(host.name, word, { at: said.at, pace });
+            other.state.lenders.receive(host.name, word, { at: said.at, pace });
             const late = this.#now - said.at;
-            other.state.book.heard(
+            other.state.book.receive(
               news.map((one) => ({ ...one, age: one.age + late })),
               this.#now,
             );
@@ -311,7 +311,7 @@
 
   #arrive(host: Host, state: HostState): void {
     const open = this.#servers.filter(
-      (server) => state.book.of(server, this.#now) === undefined,
+      (server) => state.book.limitOf(server, this.#now) === undefined,
     );
     const free = open[this.#random.below(Math.max(1, open.length))];
     if (free !== undefined) {
@@ -338,7 +338,7 @@
     even_share: (host, state) => {
       const second = Math.floor(this.#now / 1_000);
       const server = this.#servers.find((one) => {
-        const perSecond = state.book.of(one, this.#now) ?? 0;
+        const perSecond = state.book.limitOf(one, this.#now) ?? 0;
         const used = host.own.get(`${one.id}/${second}`) ?? 0;
         return used < Math.max(1, perSecond / this.#hosts.length);
       });
@@ -358,7 +358,7 @@
       this.#sendOrRefuse(host, this.#give(host), 0);
       return;
     }
-    if (asked === undefined || !state.waits.mayAsk(SERVICE, this.#now)) {
+    if (asked === undefined || !state.waits.canQuery(SERVICE, this.#now)) {
       this.#sendOrRefuse(host, undefined, 0);
       return;
     }
@@ -375,7 +375,7 @@
     this.#later(QUESTION_MILLISECONDS.longest, () => {
       if (answered) return;
       answered = true;
-      state.waits.unanswered(SERVICE, this.#now);
+      state.waits.recordNoAnswer(SERVICE, this.#now);
       this.#sendOrRefuse(host, undefined, this.#now - askedAt);
     });
     if (!arrives(host, asked)) return;
@@ -388,7 +388,7 @@
         if (answered || host.state !== state) return;
         answered = true;
         if (server === undefined) {
-          state.waits.refused(SERVICE, wait, this.#now);
+          state.waits.recordRefusal(SERVICE, wait, this.#now);
         }
         this.#sendOrRefuse(host, server, this.#now - askedAt);
       });
@@ -403,22 +403,22 @@
 
   #giveFrom(
     state: HostState,
-    owners: ReturnType<TurnLenders["owners"]>,
-    urgency: TurnUrgency = "ordinary",
+    owners: ReturnType<PermitLenders["owners"]>,
+    urgency: PermitUrgency = "ordinary",
   ): Server | undefined {
     return this.#servers.find((server) => {
-      const perSecond = state.book.of(server, this.#now);
+      const perSecond = state.book.limitOf(server, this.#now);
       if (perSecond === undefined) return false;
-      const life = `${server.id}/${server.born}`;
-      const terms = { life, perSecond, time: this.#now, owners };
-      return state.ledger.give(terms, urgency).kind === "given";
+      const incarnationName = `${server.id}/${server.born}`;
+      const terms = { incarnationName, perSecond, time: this.#now, owners };
+      return state.ledger.grant(terms, urgency).kind === "given";
     });
   }
 
   /** Time until the next turn of any server, in milliseconds. */
   #nextOf({ state }: Host): number {
     const rates = this.#servers.flatMap(
-      (server) => state?.book.of(server, this.#now) ?? [],
+      (server) => state?.book.limitOf(server, this.#now) ?? [],
     );
     return 1_000 / Math.max(0.25, ...rates);
   }
@@ -441,7 +441,7 @@
       const answers = SERVER_MILLISECONDS.there + SERVER_MILLISECONDS.work;
       this.#later(answers, () => {
         if (host.state === state) {
-          state?.book.read(said, said.perSecond, this.#now);
+          state?.book.recordAdvertised(said, said.perSecond, this.#now);
         }
       });
     });
--- a/packages/rampswitch-emulator/src/emulated_rests.ts
+++ b/packages/rampswitch-emulator/src/emulated_rests.ts
@@ -8,7 +8,7 @@
  */
 import {
   chooseServer,
-  PrefixKnowledge,
+  PrefixCacheEstimate,
   returnMilliseconds,
   type ReturnInputs,
   ServerRecord,
@@ -122,7 +122,7 @@
   readonly #events = new TinyQueue<Event>([], (a, b) => a.at - b.at);
   readonly #servers: readonly Server[];
   readonly #hosts: readonly Host[];
-  readonly #prefixes = new PrefixKnowledge();
+  readonly #prefixes = new PrefixCacheEstimate();
   #now = 0;
   #asked = 0;
   #inTime = 0;
@@ -185,9 +185,9 @@
       promptTokens: 0,
       readingRate: 1,
       excluded: asked.tried,
-      ownConnections: Infinity,
-      leavingMilliseconds: 0,
-      hearsDispatches: false,
+      maximumOwnRequests: Infinity,
+      leavingGraceMilliseconds: 0,
+      receivesDispatches: false,
       draw: () => this.#random.next(),
     });
     if (outcome.kind !== "chosen" || asked.tried.size >= MOST_SENDS) {
@@ -195,14 +195,14 @@
       return;
     }
     const { record } = outcome.choice;
-    asked.tried.add(record.life);
+    asked.tried.add(record.incarnation);
     const work = record.started(0);
     const server = this.#servers[Number(record.entry.id)];
     if (server === undefined) return;
     this.#after(WAY_MILLISECONDS, () =>
       this.#arrived(server, host, {
         served: () => {
-          work.taken();
+          work.requestAccepted();
           work.ended();
           record.succeeded();
           if (this.#now - asked.at <= TARGET_MILLISECONDS) this.#inTime += 1;
@@ -217,7 +217,7 @@
   }
 
   #refuse(host: Host, { at }: Asked): void {
-    const ends = host.records.map(({ rest }) => rest.returnsAt);
+    const ends = host.records.map(({ backOff: rest }) => rest.returnsAt);
     const wait = Math.max(
       BACK_MILLISECONDS.least,
       Math.min(...ends) - this.#now,
@@ -263,10 +263,10 @@
       holdMilliseconds: HOLD_MILLISECONDS,
       slots: SLOTS,
     });
-    record.rest.asked({
+    record.backOff.requested({
       now: this.#now,
       milliseconds: restMilliseconds,
-      returnsAfter: within * this.#random.next(),
+      returnDelay: within * this.#random.next(),
     });
     const until = this.#now + restMilliseconds;
     host.rests.set(server.index, until);
--- a/packages/rampswitch-emulator/src/emulated_rollout.ts
+++ b/packages/rampswitch-emulator/src/emulated_rollout.ts
@@ -243,11 +243,11 @@
         logger: SILENT_LOGGER,
         metrics: METRICS,
         terms: () => TERMS,
-        place: () => ({
+        fleetPosition: () => ({
           rank: Number(name.slice(1)),
           hosts: this.#run.hosts,
         }),
-        judge: this.#run.judge ?? (() => new VersionJudge()),
+        createEvaluator: this.#run.judge ?? (() => new VersionJudge()),
         onPromoting: () =>
           this.#after(LOOK_MILLISECONDS, () => this.#leave(name)),
         onUnknownVersion: () =>
@@ -259,26 +259,26 @@
 
   #ask(name: string): void {
     const host = this.#hostOf(name);
-    if (host === undefined || !Number.isFinite(host.rollouts.holdingSince)) {
+    if (host === undefined || !Number.isFinite(host.rollouts.heldBackSince)) {
       return;
     }
     if (this.#storeAway) this.#after(500, () => this.#ask(name));
     else {
       this.#readOrder(host);
-      host.rollouts.read();
+      host.rollouts.specsRead();
     }
   }
 
   #readOrder(host: Host): void {
     if (!this.#ordered) return;
     host.rollouts.stored(
-      { order: this.#order, state: this.#stored },
+      { spec: this.#order, state: this.#stored },
       this.#storeVersion,
       this.#now,
     );
   }
 
-  get #order(): DueState["order"] {
+  get #order(): DueState["spec"] {
     return {
       service: SERVICE,
       toVersion: "v2",
@@ -309,13 +309,13 @@
   }
 
   #tellNow(host: Host): void {
-    const news = host.rollouts.news(this.#now);
+    const news = host.rollouts.updates(this.#now);
     const life = `${host.name}/${host.life}`;
     this.#hearing()
       .filter((other) => other !== host)
       .forEach((other) => this.#deliver(other, news, life));
     if (!this.#hearing().includes(host)) return;
-    const word = host.rollouts.word(this.#now);
+    const word = host.rollouts.relayUpdates(this.#now);
     this.#hosts
       .slice(this.#hearing().length)
       // Each member hears two relays.
@@ -333,9 +333,9 @@
     if (news.length === 0 || this.#random.next() < LOST_NEWS_SHARE) return;
     this.#after(5 + 60 * this.#random.next(), () => {
       if (!host.alive) return;
-      host.rollouts.heard(news, {
+      host.rollouts.received(news, {
         now: this.#now,
-        ...(life === undefined ? {} : { life }),
+        ...(life === undefined ? {} : { incarnation: life }),
       });
     });
   }
@@ -509,7 +509,7 @@
   }
 
   #choose(host: Host, isFirst: boolean): ServerRecord | undefined {
-    const { first, otherwise } = host.rollouts.choice(SERVICE, {
+    const { first, fallback: otherwise } = host.rollouts.choice(SERVICE, {
       isFirst,
       now: this.#now,
     });
@@ -577,12 +577,13 @@
   #leave(name: string): void {
     const host = this.#hostOf(name);
     if (host === undefined) return;
-    const { goesOn, isNews } = host.rollouts.leaving(this.#now);
+    const { isPromoting: goesOn, hasChanged: isNews } =
+      host.rollouts.promotionProgress(this.#now);
     if (isNews) this.#tellNow(host);
     if (goesOn) this.#after(LOOK_MILLISECONDS, () => this.#leave(name));
     [...host.runs]
       .filter((run) => run.route.movable && !run.moving)
-      .filter(({ record }) => host.rollouts.isLeft(record, this.#now))
+      .filter(({ record }) => host.rollouts.shouldMigrate(record, this.#now))
       .forEach((run) => {
         run.moving = true;
         this.#after(80 + 220 * this.#random.next(), () => this.#move(run));
--- a/packages/rampswitch-measure/src/quarantine_measure.ts
+++ b/packages/rampswitch-measure/src/quarantine_measure.ts
@@ -38,12 +38,12 @@
     clock: new ManualClock(),
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
-    turn: () => ({ rank: 0, lagMilliseconds: 0 }),
+    trialRank: () => ({ rank: 0, lagMilliseconds: 0 }),
     onStoredChange: () => undefined,
   });
   Array.from({ length: requests }, (_, index) =>
-    quarantine.lost(fingerprintOf("/known", index), {
-      life: `life-${index}`,
+    quarantine.recordLoss(fingerprintOf("/known", index), {
+      incarnation: `life-${index}`,
       leavingSince: undefined,
     }),
   );
--- a/packages/rampswitch-serving/src/admission/fleet_admission.ts
+++ b/packages/rampswitch-serving/src/admission/fleet_admission.ts
@@ -25,14 +25,14 @@
   readonly limits: WorkspaceLimits;
   readonly metrics: ServingMetrics;
   /** Whether this host has relays that it can query. */
-  asks(): boolean;
+  hasRelays(): boolean;
   /**
    * Number of hosts that decide for others; `undefined` where this host is not
    * one of them.
    */
   deciders(): number | undefined;
   /** Queries a relay; `undefined` if none answers in time. */
-  ask(request: LimitRequest): Promise<LimitDecision | undefined>;
+  queryRelay(request: LimitRequest): Promise<LimitDecision | undefined>;
 }
 
 /** Admits requests at one host, under limits that all hosts share. */
@@ -45,10 +45,10 @@
 
   /** Admits a request, or refuses it with a time to retry after. */
   async admit(request: LimitRequest): Promise<LimitDecision> {
-    if (!this.#parts.asks()) return this.decide(request);
+    if (!this.#parts.hasRelays()) return this.decide(request);
     const ownDecision = this.#admitWhileAmple(request);
     if (ownDecision?.kind === "admitted") return ownDecision;
-    const relayDecision = await this.#parts.ask(request);
+    const relayDecision = await this.#parts.queryRelay(request);
     this.#parts.metrics.event(
       `limit_asked_${relayDecision?.kind ?? "in_vain"}`,
     );
@@ -68,7 +68,7 @@
   }
 
   /** Returns the tokens of an admitted request that certainly did not run. */
-  giveBack({ workspace, tokens }: Omit<LimitRequest, "priority">): void {
+  refund({ workspace, tokens }: Omit<LimitRequest, "priority">): void {
     this.#parts.limits.refund(workspace, tokens);
   }
 
--- a/packages/rampswitch-serving/src/admission/fleet_admission_test.ts
+++ b/packages/rampswitch-serving/src/admission/fleet_admission_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import { ManualClock, type Random, seededRandom } from "rampswitch-utils";
-import { RELAYED_PACE } from "../membership/relay_plan.ts";
+import { RELAYED_GOSSIP_TIMING } from "../membership/relay_plan.ts";
 import type { LimitRequest } from "../membership/mod.ts";
 import type { Workspace } from "../model/configuration.ts";
 import { ServingMetrics } from "../observation/mod.ts";
@@ -11,7 +11,7 @@
 
 const TOLERANCE = {
   slackTokens: 140_000,
-  overShare: 0.1,
+  excessShare: 0.1,
   windowMilliseconds: 8_000,
 };
 
@@ -82,7 +82,7 @@
   get allowed(): number {
     const { tokensPerSecond, burstTokens } = this.#workspace;
     return (
-      (8 * tokensPerSecond + burstTokens) * (1 + TOLERANCE.overShare) +
+      (8 * tokensPerSecond + burstTokens) * (1 + TOLERANCE.excessShare) +
       TOLERANCE.slackTokens
     );
   }
@@ -120,9 +120,9 @@
    * limit.
    */
   async round(load: number): Promise<void> {
-    const members = this.#members.map(({ limits }) => limits.totals());
-    const relays = this.#relays.map(({ limits }) => limits.totals());
-    const pause = RELAYED_PACE.interval / ARRIVALS_PER_ROUND;
+    const members = this.#members.map(({ limits }) => limits.admittedTotals());
+    const relays = this.#relays.map(({ limits }) => limits.admittedTotals());
+    const pause = RELAYED_GOSSIP_TIMING.interval / ARRIVALS_PER_ROUND;
     for (let arrival = 0; arrival < ARRIVALS_PER_ROUND; arrival += 1) {
       await this.#admitArrivals(load, pause);
       this.#clock.advance(pause);
@@ -197,7 +197,7 @@
     from: string,
     totals: Readonly<Record<string, number>>,
   ): void {
-    relay.limits.heard(
+    relay.limits.receiveUpdate(
       from,
       {
         incarnation: String(this.#incarnation),
@@ -219,7 +219,7 @@
     if (relay === undefined) return;
     limits.followRelay(
       {
-        levels: relay.knowsLevels(now) ? relay.levels(now) : {},
+        levels: relay.hasFleetLevels(now) ? relay.levels(now) : {},
         hosts: this.#count + DATA_HALLS,
         silentShare: relay.silentShare(now),
         acknowledged,
@@ -230,24 +230,24 @@
 
   #startHosts(count: number): readonly Host[] {
     return Array.from({ length: count }, (_, index) => {
-      const limits = new WorkspaceLimits(TOLERANCE, RELAYED_PACE, {
+      const limits = new WorkspaceLimits(TOLERANCE, RELAYED_GOSSIP_TIMING, {
         random: this.#random,
       });
       limits.configure([this.#workspace], this.#clock.now());
-      limits.hostsListed();
+      limits.markHostsListed();
       const names = [
         ...Array.from({ length: DATA_HALLS }, (_, hall) => `relay-${hall}`),
         ...Array.from({ length: this.#count }, (_, at) => `member-${at}`),
       ];
-      names.forEach((name) => limits.expected(name, this.#clock.now()));
+      names.forEach((name) => limits.addExpectedPeer(name, this.#clock.now()));
       const isRelay = count === DATA_HALLS;
       const admission = new FleetAdmission({
         clock: this.#clock,
         limits,
         metrics: new ServingMetrics(),
-        asks: () => !isRelay,
+        hasRelays: () => !isRelay,
         deciders: () => (isRelay ? DATA_HALLS : undefined),
-        ask: (request) =>
+        queryRelay: (request) =>
           Promise.resolve(
             this.#relays[index % DATA_HALLS]?.admission.decide(request),
           ),
@@ -338,19 +338,19 @@
 
   test("are decided by the host itself if no relay answers", async () => {
     const clock = new ManualClock(0);
-    const limits = new WorkspaceLimits(TOLERANCE, RELAYED_PACE, {
+    const limits = new WorkspaceLimits(TOLERANCE, RELAYED_GOSSIP_TIMING, {
       random: seededRandom(1),
     });
     const admission = new FleetAdmission({
       clock,
       limits,
       metrics: new ServingMetrics(),
-      asks: () => true,
+      hasRelays: () => true,
       deciders: () => undefined,
-      ask: () => Promise.resolve(undefined),
+      queryRelay: () => Promise.resolve(undefined),
     });
     const request = { workspace: "unlimited", tokens: 10, priority: 0 };
     expect((await admission.admit(request)).kind).toBe("admitted");
-    expect(limits.totals()).toEqual({ unlimited: 10 });
+    expect(limits.admittedTotals()).toEqual({ unlimited: 10 });
   });
 });
--- a/packages/rampswitch-serving/src/admission/peer_spending.ts
+++ b/packages/rampswitch-serving/src/admission/peer_spending.ts
@@ -33,7 +33,7 @@
  * Silence after which a peer counts as gone, in milliseconds, given how many of
  * all peers are active (not silent).
  */
-export function goneAfterMilliseconds(active: number, peers: number): number {
+export function peerTimeoutMilliseconds(active: number, peers: number): number {
   return active * 2 < peers
     ? ISOLATED_PEER_TIMEOUT_MILLISECONDS
     : PEER_TIMEOUT_MILLISECONDS;
@@ -181,7 +181,7 @@
   #possibleConsumers(now: number): readonly PeerConsumption[] {
     const peers = [...this.#peers.values()].filter((peer) => !peer.stopping);
     const active = peers.filter((peer) => !this.#isSilent(peer, now)).length;
-    const timeout = goneAfterMilliseconds(active, peers.length);
+    const timeout = peerTimeoutMilliseconds(active, peers.length);
     return peers.filter((peer) => now - peer.receivedAt < timeout);
   }
 
--- a/packages/rampswitch-serving/src/admission/resend_budget.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget.ts
@@ -31,14 +31,14 @@
   | "continuation";
 
 /** One host's part of the resend budget in the window that ends now. */
-export interface ResendState {
+export interface ResendBudgetState {
   readonly spent: number;
   /** The whole part; ordinary resends stop before it is used up. */
   readonly allowed: number;
 }
 
 /** The time, and the number of hosts that a host counts, including itself. */
-export interface ResendAsked {
+export interface ResendContext {
   readonly now: number;
   /** `undefined` until this incarnation has read the list of hosts. */
   readonly hosts: number | undefined;
@@ -127,7 +127,7 @@
   /**
    * Counts a caller's request for a service, and records the number of hosts.
    */
-  requested(service: string, { now, hosts }: ResendAsked): void {
+  recordRequest(service: string, { now, hosts }: ResendContext): void {
     this.#startedAt ??= now;
     this.#recentFleetSize.recordSize(hosts, now);
     this.#newestBucket(service, now).requests += 1;
@@ -136,7 +136,7 @@
   /** Spends one resend, if this host's part of the budget allows it. */
   spend(
     service: string,
-    context: ResendAsked & { readonly kind?: ResendKind },
+    context: ResendContext & { readonly kind?: ResendKind },
   ): boolean {
     this.#startedAt ??= context.now;
     this.#recentFleetSize.recordSize(context.hosts, context.now);
@@ -150,7 +150,7 @@
   }
 
   /** The resends that are spent and allowed now; changes nothing. */
-  state(service: string, { now, hosts }: ResendAsked): ResendState {
+  state(service: string, { now, hosts }: ResendContext): ResendBudgetState {
     const oldest = now - this.#terms.windowMilliseconds;
     const buckets = this.#services.get(service) ?? [];
     const requests = sum(
--- a/packages/rampswitch-serving/src/admission/resend_budget_fleet_test.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget_fleet_test.ts
@@ -239,7 +239,7 @@
     const host = this.#randomHost();
     const context = { now, hosts: this.#hostsCountedBy(host, now) };
     const budget = this.#budgetOf(host);
-    budget.requested(SERVICE, context);
+    budget.recordRequest(SERVICE, context);
     this.#resendWhileTurnedAway(context, () => budget.spend(SERVICE, context));
   }
 
--- a/packages/rampswitch-serving/src/admission/resend_budget_test.ts
+++ b/packages/rampswitch-serving/src/admission/resend_budget_test.ts
@@ -33,7 +33,7 @@
           steps.forEach(({ host, gap, repeats: resendCount }) => {
             now += gap;
             const budget = budgets[host % hosts];
-            budget?.requested("service", { now, hosts });
+            budget?.recordRequest("service", { now, hosts });
             requests.push(now);
             Array.from({ length: resendCount }).forEach(() => {
               if (budget?.spend("service", { now, hosts }) === true) {
@@ -82,7 +82,7 @@
             }) => {
               now += gap;
               Array.from({ length: requestCount }).forEach(() => {
-                budget.requested("service", { now, hosts: 9 });
+                budget.recordRequest("service", { now, hosts: 9 });
                 requests.push(now);
               });
               const kind = stopped ? "continuation" : "repeat";
@@ -108,7 +108,7 @@
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const times = Array.from({ length: 1_200 }, (_, index) => index * 50);
     const repeats = times.filter((now) => {
-      budget.requested("service", { now, hosts: 9 });
+      budget.recordRequest("service", { now, hosts: 9 });
       return budget.spend("service", { now, hosts: 9 });
     });
     const exact = 0.8 * (TERMS.share * 200 + TERMS.allowance / 9);
@@ -120,7 +120,7 @@
   test("stopped streams continue after ordinary resends are refused", () => {
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const context = { now: 0, hosts: 1, kind: "repeat" } as const;
-    budget.requested("service", { now: 0, hosts: 2 });
+    budget.recordRequest("service", { now: 0, hosts: 2 });
     expect(spendAll(budget, context)).toBe(22);
     expect(spendAll(budget, { ...context, kind: "continuation" })).toBe(4);
     expect(spendAll(budget, context)).toBe(0);
@@ -135,7 +135,7 @@
 
   test("a new incarnation may resend its first request once", () => {
     const budget = new ResendBudget(TERMS);
-    budget.requested("service", { now: 0, hosts: 1 });
+    budget.recordRequest("service", { now: 0, hosts: 1 });
     const context = { now: 0, hosts: 1, kind: "repeat" } as const;
     expect(spendAll(budget, context)).toBe(1);
   });
@@ -172,9 +172,9 @@
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const part = (now: number, hosts: number) =>
       budget.state("service", { now, hosts }).allowed;
-    budget.requested("other", { now: 0, hosts: 56 });
-    budget.requested("other", { now: 20_000, hosts: 28 });
-    budget.requested("other", { now: 40_000, hosts: 14 });
+    budget.recordRequest("other", { now: 0, hosts: 56 });
+    budget.recordRequest("other", { now: 20_000, hosts: 28 });
+    budget.recordRequest("other", { now: 40_000, hosts: 14 });
     expect(part(59_999, 14)).toBe(1);
     expect(part(60_000, 14)).toBe(2);
     expect(part(80_000, 14)).toBe(4);
@@ -195,7 +195,7 @@
     const budget = new ResendBudget(TERMS, LONG_AGO);
     const context = { now: 0, hosts: 2 };
     [0, 400].forEach((now) => budget.spend("service", { ...context, now }));
-    budget.requested("service", { now: 10_100, hosts: 2 });
+    budget.recordRequest("service", { now: 10_100, hosts: 2 });
     const spent = (now: number) =>
       budget.state("service", { ...context, now }).spent;
     expect([10_100, 10_399, 10_500].map(spent)).toEqual([2, 2, 0]);
--- a/packages/rampswitch-serving/src/admission/spending_pacer.ts
+++ b/packages/rampswitch-serving/src/admission/spending_pacer.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import type { Random } from "rampswitch-utils";
-import { MOST_DIRECT_HOSTS } from "../membership/relay_plan.ts";
+import { MAXIMUM_DIRECT_HOSTS } from "../membership/relay_plan.ts";
 
 /**
  * Multiples of its even share of a level that a host may admit within the lag
@@ -126,7 +126,7 @@
     if (recent + tokens <= share) return false;
     if (recent > 0) return true;
     const isRandomized =
-      deciders !== undefined || request.hosts > MOST_DIRECT_HOSTS;
+      deciders !== undefined || request.hosts > MAXIMUM_DIRECT_HOSTS;
     return isRandomized && !isWithinLimit && this.#draw(span) * tokens > share;
   }
 
@@ -170,7 +170,8 @@
 }: PacedRequest): number {
   const { deciders, asksDecider } = context;
   const consumers = Math.max(1, deciders ?? hosts);
-  const isLargeFleet = deciders !== undefined || consumers > MOST_DIRECT_HOSTS;
+  const isLargeFleet =
+    deciders !== undefined || consumers > MAXIMUM_DIRECT_HOSTS;
   const tolerated = isLargeFleet
     ? UNEVEN_SHARE_FACTORS.toleratedInLargeFleet
     : UNEVEN_SHARE_FACTORS.tolerated;
--- a/packages/rampswitch-serving/src/admission/workspace_limits.ts
+++ b/packages/rampswitch-serving/src/admission/workspace_limits.ts
@@ -9,7 +9,7 @@
  *
  * @module
  */
-import { MOST_DIRECT_HOSTS } from "../membership/relay_plan.ts";
+import { MAXIMUM_DIRECT_HOSTS } from "../membership/relay_plan.ts";
 import type { Random } from "rampswitch-utils";
 import type { Workspace } from "../model/configuration.ts";
 import {
@@ -74,7 +74,7 @@
 export interface LimitTolerance {
   readonly slackTokens: number;
   /** Tolerated excess, as a share of what a workspace may send in a window. */
-  readonly overShare: number;
+  readonly excessShare: number;
   readonly windowMilliseconds: number;
 }
 
@@ -220,7 +220,7 @@
   }
 
   /** Totals to report to the peers. */
-  totals(): AdmittedTotals {
+  admittedTotals(): AdmittedTotals {
     return Object.fromEntries(this.#admitted);
   }
 
@@ -237,7 +237,7 @@
   /**
    * Whether the levels include the consumption of others and can be reported.
    */
-  knowsLevels(now: number): boolean {
+  hasFleetLevels(now: number): boolean {
     return (
       this.#firstUpdateAt !== undefined &&
       now - this.#firstUpdateAt >= RELAY_WARM_UP_MILLISECONDS
@@ -258,7 +258,7 @@
   }
 
   /** Changes how old the updates of other hosts may be. */
-  setPace(timing: GossipTiming): void {
+  setGossipTiming(timing: GossipTiming): void {
     this.#peers.setGossipTiming(timing);
     this.#pacer.setGossipTiming(timing);
   }
@@ -290,17 +290,17 @@
   }
 
   /** Records that the list of hosts was read. */
-  hostsListed(): void {
+  markHostsListed(): void {
     this.#peers.markHostsListed();
   }
 
   /** Adds a listed peer that may not have reported yet. */
-  expected(peer: string, now: number): void {
+  addExpectedPeer(peer: string, now: number): void {
     this.#peers.addExpectedPeer(peer, now);
   }
 
   /** Receives a peer's update on what it has admitted since its start. */
-  heard(
+  receiveUpdate(
     peer: string,
     update: ConsumptionUpdate & { readonly levels: BucketLevels },
     now: number,
@@ -347,7 +347,11 @@
 
   /** Tokens that a full bucket of a workspace holds. */
   #capacity(workspace: Workspace): number {
-    const { slackTokens, overShare, windowMilliseconds } = this.#tolerance;
+    const {
+      slackTokens,
+      excessShare: overShare,
+      windowMilliseconds,
+    } = this.#tolerance;
     const seconds = windowMilliseconds / 1_000;
     const window = workspace.tokensPerSecond * seconds + workspace.burstTokens;
     // The slack counts tokens; limits that count requests get none of it.
@@ -386,7 +390,9 @@
    * the first level that relays report, would exceed a bucket.
    */
   #isFleetStarting(now: number): boolean {
-    return this.isStarting(now) && this.#peers.hosts(now) > MOST_DIRECT_HOSTS;
+    return (
+      this.isStarting(now) && this.#peers.hosts(now) > MAXIMUM_DIRECT_HOSTS
+    );
   }
 }
 
--- a/packages/rampswitch-serving/src/admission/workspace_limits_test.ts
+++ b/packages/rampswitch-serving/src/admission/workspace_limits_test.ts
@@ -4,7 +4,10 @@
 import fc from "fast-check";
 import { seededRandom } from "rampswitch-utils";
 import type { Workspace } from "../model/configuration.ts";
-import { DIRECT_PACE, RELAYED_PACE } from "../membership/relay_plan.ts";
+import {
+  DIRECT_GOSSIP_TIMING,
+  RELAYED_GOSSIP_TIMING,
+} from "../membership/relay_plan.ts";
 import { WorkspaceLimits } from "./workspace_limits.ts";
 
 const WORKSPACE: Workspace = {
@@ -19,7 +22,7 @@
 
 const TOLERANCE = {
   slackTokens: 72_000,
-  overShare: 0.1,
+  excessShare: 0.1,
   windowMilliseconds: 8_000,
 };
 
@@ -77,11 +80,11 @@
     this.#hosts.forEach((from, sender) =>
       this.#hosts.forEach((to, receiver) => {
         if (sender === receiver || cut(sender) || cut(receiver)) return;
-        to.heard(
+        to.receiveUpdate(
           String(sender),
           {
             incarnation: String(this.#incarnations[sender]),
-            totals: from.totals(),
+            totals: from.admittedTotals(),
             levels: from.levels(this.#now),
             stopping: false,
           },
@@ -103,7 +106,7 @@
   #readHostList(host: number): void {
     this.#hosts.forEach((_, other) => {
       if (other === host) return;
-      this.#hosts[host]?.expected(String(other), this.#now);
+      this.#hosts[host]?.addExpectedPeer(String(other), this.#now);
     });
   }
 
@@ -120,11 +123,11 @@
 }
 
 function newHost(now: number): WorkspaceLimits {
-  const limits = new WorkspaceLimits(TOLERANCE, DIRECT_PACE, {
+  const limits = new WorkspaceLimits(TOLERANCE, DIRECT_GOSSIP_TIMING, {
     random: seededRandom(1),
   });
   limits.configure([WORKSPACE], now);
-  limits.hostsListed();
+  limits.markHostsListed();
   return limits;
 }
 
@@ -154,7 +157,7 @@
   }
 
   get #now(): number {
-    return this.#round * RELAYED_PACE.interval;
+    return this.#round * RELAYED_GOSSIP_TIMING.interval;
   }
 
   /**
@@ -164,7 +167,7 @@
     demandOf: (member: number) => number,
     silent: (relay: number) => boolean,
   ): void {
-    const before = this.#members.map((member) => member.totals());
+    const before = this.#members.map((member) => member.admittedTotals());
     this.#members.forEach((member, index) => {
       const requests = Math.floor(demandOf(index) / REQUEST_TOKENS);
       Array.from({ length: requests }).forEach(() => {
@@ -190,7 +193,9 @@
       if (relay === undefined || silent(from)) return;
       member.followRelay(
         {
-          levels: relay.knowsLevels(this.#now) ? relay.levels(this.#now) : {},
+          levels: relay.hasFleetLevels(this.#now)
+            ? relay.levels(this.#now)
+            : {},
           hosts: this.#members.length,
           silentShare: relay.silentShare(this.#now),
           acknowledged: before[index] ?? {},
@@ -207,18 +212,18 @@
   ): void {
     const incarnation = String(this.#incarnation);
     const update = { incarnation, totals, levels: {}, stopping: false };
-    relay.heard(String(index), update, this.#now);
+    relay.receiveUpdate(String(index), update, this.#now);
   }
 
   #startHosts(count: number): WorkspaceLimits[] {
     return Array.from({ length: count }, () => {
-      const limits = new WorkspaceLimits(TOLERANCE, RELAYED_PACE, {
+      const limits = new WorkspaceLimits(TOLERANCE, RELAYED_GOSSIP_TIMING, {
         random: this.#random,
       });
       limits.configure([WORKSPACE], this.#now);
-      limits.hostsListed();
+      limits.markHostsListed();
       Array.from({ length: count }, (_, other) =>
-        limits.expected(String(other), this.#now),
+        limits.addExpectedPeer(String(other), this.#now),
       );
       return limits;
     });
@@ -236,7 +241,7 @@
         (calledHosts, silentFrom) => {
           const fleet = new RelayedFleet(60);
           const demand =
-            (4 * WORKSPACE.tokensPerSecond * RELAYED_PACE.interval) /
+            (4 * WORKSPACE.tokensPerSecond * RELAYED_GOSSIP_TIMING.interval) /
             1_000 /
             calledHosts;
           for (let round = 0; round < 50; round += 1) {
@@ -266,7 +271,9 @@
           const fleet = new RelayedFleet(60);
           // Eight times the usual demand, which is the limit divided by 1.8.
           const demand =
-            ((8 / 1.8) * WORKSPACE.tokensPerSecond * RELAYED_PACE.interval) /
+            ((8 / 1.8) *
+              WORKSPACE.tokensPerSecond *
+              RELAYED_GOSSIP_TIMING.interval) /
             1_000 /
             calledHosts;
           for (let round = 0; round < 50; round += 1) {
@@ -287,7 +294,7 @@
 
   test("admit at most an even part before the list of hosts is read", () => {
     const admitted = Array.from({ length: 8 }, () => {
-      const limits = new WorkspaceLimits(TOLERANCE, DIRECT_PACE, {
+      const limits = new WorkspaceLimits(TOLERANCE, DIRECT_GOSSIP_TIMING, {
         random: seededRandom(1),
       });
       limits.configure([WORKSPACE], 0);
@@ -302,7 +309,9 @@
   test("admit demand within the limit in full at only two hosts", () => {
     const fleet = new RelayedFleet(60);
     const demand =
-      (0.55 * WORKSPACE.tokensPerSecond * RELAYED_PACE.interval) / 1_000 / 2;
+      (0.55 * WORKSPACE.tokensPerSecond * RELAYED_GOSSIP_TIMING.interval) /
+      1_000 /
+      2;
     // Hosts start some seconds before their first requests.
     for (let round = 0; round < 10; round += 1) {
       fleet.step(
@@ -382,11 +391,13 @@
 
   test("admit a group of requests within the limit at one host", () => {
     const host = newHost(0);
-    Array.from({ length: 7 }, (_, peer) => host.expected(String(peer), 0));
+    Array.from({ length: 7 }, (_, peer) =>
+      host.addExpectedPeer(String(peer), 0),
+    );
     // A bucket starts below its full level and needs time to fill.
     [100, 2_000].forEach((at) =>
       Array.from({ length: 7 }, (_, peer) =>
-        host.heard(
+        host.receiveUpdate(
           String(peer),
           { incarnation: "1", totals: {}, levels: {}, stopping: false },
           at,
@@ -416,16 +427,16 @@
   });
 
   test("reserve the last part of a limit for more urgent requests", () => {
-    const limits = new WorkspaceLimits(TOLERANCE, DIRECT_PACE, {
+    const limits = new WorkspaceLimits(TOLERANCE, DIRECT_GOSSIP_TIMING, {
       random: seededRandom(1),
     });
     limits.configure([{ ...WORKSPACE, tokensPerSecond: 1 }], 0);
-    limits.hostsListed();
+    limits.markHostsListed();
     // Long after the start, so that the bucket is full.
     let now = 200_000_000;
     const admits = (priority: number) => {
       // After the lag, so that earlier admissions no longer count as recent.
-      now += DIRECT_PACE.lag;
+      now += DIRECT_GOSSIP_TIMING.lag;
       const decision = limits.admit(WORKSPACE.name, 1_000, { now, priority });
       return decision.kind === "admitted";
     };
@@ -445,7 +456,7 @@
     limits.configure([{ ...WORKSPACE, tokensPerSecond: 1 }], 0);
     let now = 200_000_000;
     const passes = (tokens: number) => {
-      now += DIRECT_PACE.lag;
+      now += DIRECT_GOSSIP_TIMING.lag;
       const decision = limits.admit(WORKSPACE.name, tokens, {
         now,
         priority: 2,
@@ -474,6 +485,6 @@
     const limits = newHost(0);
     expect(limits.admit(WORKSPACE.name, 9_000, at(0)).kind).toBe("admitted");
     limits.refund(WORKSPACE.name, 9_000);
-    expect(limits.totals()).toEqual({ large: 0 });
+    expect(limits.admittedTotals()).toEqual({ large: 0 });
   });
 });
--- a/packages/rampswitch-serving/src/choice/choose_server.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server.ts
@@ -11,7 +11,7 @@
 import type { EngineLimits } from "../model/configuration.ts";
 import type { PromptPart } from "../model/request.ts";
 import { planCopy, type CopySource, findCopySource } from "./prefix_copy.ts";
-import type { PrefixKnowledge } from "./prefix_cache_estimate.ts";
+import type { PrefixCacheEstimate } from "./prefix_cache_estimate.ts";
 import type { ServerRecord } from "./server_record.ts";
 
 /** Inputs of a choice beside the servers. */
@@ -29,18 +29,18 @@
   /** Incarnations of servers that must not be chosen, such as those already tried. */
   readonly excluded: ReadonlySet<string>;
   /** Maximum requests of this host at one server at once. */
-  readonly ownConnections: number;
+  readonly maximumOwnRequests: number;
   /**
    * Whether this host receives the dispatches of all other hosts, which report the
    * server that each prompt was sent to. In a large fleet it does not, and assumes
    * that the other hosts use the same home servers.
    */
-  readonly hearsDispatches: boolean;
+  readonly receivesDispatches: boolean;
   /**
    * Time after a server announces its end in which it still gets requests that no
    * other server can take, in milliseconds.
    */
-  readonly leavingMilliseconds: number;
+  readonly leavingGraceMilliseconds: number;
   /** Returns a random number in [0, 1). */
   draw(): number;
 }
@@ -50,7 +50,7 @@
   readonly record: ServerRecord;
   readonly predictedMilliseconds: number;
   /** Prompt tokens that the server has cached or copies, and so need no prefill. */
-  readonly keptTokens: number;
+  readonly cachedTokens: number;
   /** Another engine with more of the prompt cached, to copy from. */
   readonly copyFrom: ServerRecord | undefined;
   /** Requests that run and wait at the server, from all hosts. */
@@ -110,10 +110,12 @@
  */
 export function chooseServer(
   records: readonly ServerRecord[],
-  prefixes: PrefixKnowledge,
+  prefixes: PrefixCacheEstimate,
   inputs: ChoiceInputs,
 ): ChoiceOutcome {
-  const untried = records.filter((record) => !inputs.excluded.has(record.life));
+  const untried = records.filter(
+    (record) => !inputs.excluded.has(record.incarnation),
+  );
   const ready = untried.filter((record) => record.isReady);
   const copySource = findCopySource(records, prefixes, inputs);
   const outcome = chooseAmong(ready, prefixes, {
@@ -144,17 +146,19 @@
   return (
     !record.isReady &&
     leavingSince !== undefined &&
-    inputs.now - leavingSince < inputs.leavingMilliseconds
+    inputs.now - leavingSince < inputs.leavingGraceMilliseconds
   );
 }
 
 function chooseAmong(
   ready: readonly ServerRecord[],
-  prefixes: PrefixKnowledge,
+  prefixes: PrefixCacheEstimate,
   inputs: ChoiceInputs & { readonly copySource: CopySource | undefined },
 ): ChoiceOutcome {
   if (ready.length === 0) return { kind: "none" };
-  const available = ready.filter(({ rest }) => !rest.holds(inputs.now));
+  const available = ready.filter(
+    ({ backOff }) => !backOff.isActive(inputs.now),
+  );
   if (available.length === 0) return { kind: "resting" };
   const healthy = available.filter((record) => !record.isEjected(inputs.now));
   // If all servers failed recently, trying one is better than a refusal.
@@ -198,7 +202,7 @@
   withCapacity: readonly ServerRecord[],
   inputs: ChoiceInputs & Preferred,
 ): readonly ServerRecord[] {
-  if (inputs.hearsDispatches || withCapacity.length <= SAMPLED_SERVERS)
+  if (inputs.receivesDispatches || withCapacity.length <= SAMPLED_SERVERS)
     return withCapacity;
   const preferred = withCapacity.filter(({ entry }) =>
     inputs.preferred.has(entry.id),
@@ -231,16 +235,16 @@
 function hasCapacity(record: ServerRecord, inputs: ChoiceInputs): boolean {
   const maximumLoad = record.entry.slots * (1 + MAXIMUM_QUEUE_SHARE);
   return (
-    record.rest.takes(inputs.now) &&
+    record.backOff.allowsSend(inputs.now) &&
     record.load(inputs.now) < maximumLoad &&
-    record.ownRunning < inputs.ownConnections
+    record.ownRunning < inputs.maximumOwnRequests
   );
 }
 
 /** Predicts the time to the first part of the answer, with penalties and bonuses. */
 function predict(
   record: ServerRecord,
-  prefixes: PrefixKnowledge,
+  prefixes: PrefixCacheEstimate,
   inputs: ChoiceInputs &
     Preferred & {
       readonly copySource: CopySource | undefined;
@@ -250,7 +254,7 @@
   const isPreferred = inputs.preferred.has(record.entry.id);
   const cachedTokens = Math.max(
     prefixes.cachedTokens(record.entry.id, inputs.parts),
-    isPreferred && !inputs.hearsDispatches
+    isPreferred && !inputs.receivesDispatches
       ? HOME_CACHED_SHARE * sharedTokens(inputs.parts)
       : 0,
   );
@@ -271,7 +275,7 @@
   const preference = isPreferred ? PREFERENCE_MILLISECONDS : 0;
   return {
     record,
-    keptTokens: cachedTokens + copy.tokens,
+    cachedTokens: cachedTokens + copy.tokens,
     copyFrom: copy.from,
     load,
     predictedMilliseconds: work + distance + failures - preference,
@@ -295,7 +299,7 @@
     readonly cachedTokens: number;
   },
 ): number {
-  const queuedTokens = record.unreadTokens(inputs.now);
+  const queuedTokens = record.pendingPrefillTokens(inputs.now);
   const ownTokens = Math.max(0, inputs.promptTokens - inputs.cachedTokens);
   const waiting = Math.max(0, inputs.load + 1 - record.entry.slots);
   return (
@@ -317,10 +321,10 @@
  */
 function preferredServers(
   records: readonly ServerRecord[],
-  prefixes: PrefixKnowledge,
+  prefixes: PrefixCacheEstimate,
   inputs: ChoiceInputs,
 ): ReadonlySet<string> {
-  const cachingServers = inputs.hearsDispatches
+  const cachingServers = inputs.receivesDispatches
     ? serversWithMostCached(records, prefixes, inputs.parts.slice(0, -1))
     : [];
   // Computed only if needed: finding the home server hashes the id of each server.
@@ -331,7 +335,7 @@
 
 function serversWithMostCached(
   records: readonly ServerRecord[],
-  prefixes: PrefixKnowledge,
+  prefixes: PrefixCacheEstimate,
   shared: readonly PromptPart[],
 ): readonly string[] {
   const cached = records.map(({ entry: { id } }) => ({
--- a/packages/rampswitch-serving/src/choice/choose_server_test.ts
+++ b/packages/rampswitch-serving/src/choice/choose_server_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, test } from "@jest/globals";
 import { seededRandom } from "rampswitch-utils";
 import { type ChoiceInputs, chooseServer } from "./choose_server.ts";
-import { PrefixKnowledge } from "./prefix_cache_estimate.ts";
+import { PrefixCacheEstimate } from "./prefix_cache_estimate.ts";
 import { ServerRecord } from "./server_record.ts";
 
 const PARTS = [
@@ -15,14 +15,14 @@
 const INPUTS: ChoiceInputs = {
   now: 10_000,
   dataHall: "a",
-  engine: { slots: 8, memoryTokens: 500_000, movable: true },
+  engine: { slots: 8, memoryTokens: 500_000, migratable: true },
   parts: PARTS,
   promptTokens: 7_500,
   readingRate: 50,
   excluded: new Set(),
-  ownConnections: 100,
-  hearsDispatches: true,
-  leavingMilliseconds: 1_200,
+  maximumOwnRequests: 100,
+  receivesDispatches: true,
+  leavingGraceMilliseconds: 1_200,
   draw: () => 0.5,
 };
 
@@ -42,9 +42,12 @@
 
 function chosen(
   records: readonly ServerRecord[],
-  options: { prefixes?: PrefixKnowledge; inputs?: Partial<ChoiceInputs> } = {},
+  options: {
+    prefixes?: PrefixCacheEstimate;
+    inputs?: Partial<ChoiceInputs>;
+  } = {},
 ): string {
-  const prefixes = options.prefixes ?? new PrefixKnowledge();
+  const prefixes = options.prefixes ?? new PrefixCacheEstimate();
   const outcome = chooseServer(records, prefixes, {
     ...INPUTS,
     ...options.inputs,
@@ -58,7 +61,7 @@
   test("prefers the server with the prompt's parts cached", () => {
     const records = ["s1", "s2", "s3"].map((id) => server(id));
     records.forEach((cachingServer) => {
-      const prefixes = new PrefixKnowledge();
+      const prefixes = new PrefixCacheEstimate();
       prefixes.stored(cachingServer.entry.id, PARTS.slice(0, 2), 500_000);
       expect(chosen(records, { prefixes })).toBe(cachingServer.entry.id);
     });
@@ -66,7 +69,7 @@
 
   test("takes another server if the queue costs more than a new prefill", () => {
     const records = ["s1", "s2"].map((id) => server(id));
-    const prefixes = new PrefixKnowledge();
+    const prefixes = new PrefixCacheEstimate();
     prefixes.stored("s1", PARTS.slice(0, 2), 500_000);
     records[0]?.started(20_000);
     expect(chosen(records, { prefixes })).toBe("s2");
@@ -95,10 +98,10 @@
     const parts = [{ id: "system", tokens: 1_000 }, ...PARTS.slice(1)];
     const home = chosen(records, { inputs: { parts } });
     const other = records.find(({ entry }) => entry.id !== home);
-    const prefixes = new PrefixKnowledge();
+    const prefixes = new PrefixCacheEstimate();
     // This host sent a prompt with the same first part elsewhere.
     prefixes.stored(other!.entry.id, parts.slice(0, 1), 500_000);
-    const withoutDispatches = { parts, hearsDispatches: false };
+    const withoutDispatches = { parts, receivesDispatches: false };
     expect(chosen(records, { prefixes, inputs: withoutDispatches })).toBe(home);
     expect(chosen(records, { prefixes, inputs: { parts } })).toBe(
       other!.entry.id,
@@ -109,7 +112,11 @@
     const records = Array.from({ length: 20 }, (_, index) => {
       const record = server(`s${index}`);
       if (index > 0)
-        record.heardPeer("b", { running: 3, unreadTokens: 9e3 }, 1e4);
+        record.receivePeerWork(
+          "b",
+          { running: 3, pendingPrefillTokens: 9e3 },
+          1e4,
+        );
       return record;
     });
     const random = seededRandom(5);
@@ -117,7 +124,7 @@
       chosen(records, {
         inputs: {
           parts: [],
-          hearsDispatches: false,
+          receivesDispatches: false,
           draw: () => random.next(),
         },
       }),
@@ -134,7 +141,7 @@
       engine: {
         slots: 8,
         memoryTokens: 500_000,
-        movable: true,
+        migratable: true,
         copyTokensPerMillisecond: 1_000,
       },
     };
@@ -143,11 +150,11 @@
     function busyCachingServer(): {
       readonly cachingServer: ServerRecord;
       readonly records: readonly ServerRecord[];
-      readonly prefixes: PrefixKnowledge;
+      readonly prefixes: PrefixCacheEstimate;
     } {
       const cachingServer = server("keeper");
       cachingServer.started(20_000);
-      const prefixes = new PrefixKnowledge();
+      const prefixes = new PrefixCacheEstimate();
       prefixes.stored("keeper", PARTS.slice(0, 2), 500_000);
       return {
         cachingServer,
@@ -165,9 +172,9 @@
         ...inputs,
       });
       if (outcome.kind !== "chosen") throw new Error("no server was chosen");
-      const { copyFrom, keptTokens, record } = outcome.choice;
+      const { copyFrom, cachedTokens, record } = outcome.choice;
       expect(record.entry.id).toBe("idle");
-      return { from: copyFrom?.entry.id, cachedTokens: keptTokens };
+      return { from: copyFrom?.entry.id, cachedTokens };
     }
 
     test("come from the engine that has them cached, and need no prefill", () => {
@@ -231,7 +238,7 @@
     expect(chosen([leaving, full])).toBe("leaving");
     expect(chosen([leaving, server("ready")])).toBe("ready");
     expect(
-      chosen([leaving, full], { inputs: { leavingMilliseconds: 0 } }),
+      chosen([leaving, full], { inputs: { leavingGraceMilliseconds: 0 } }),
     ).toBe("full");
     const gone = server("gone");
     gone.entry = { ...gone.entry, state: "leaving" };
@@ -265,9 +272,13 @@
 
   test("counts the work of peers while their updates are fresh", () => {
     const record = server("s1");
-    record.heardPeer("b", { running: 5, unreadTokens: 900 }, INPUTS.now);
+    record.receivePeerWork(
+      "b",
+      { running: 5, pendingPrefillTokens: 900 },
+      INPUTS.now,
+    );
     expect(record.load(INPUTS.now + 100)).toBe(5);
-    expect(record.unreadTokens(INPUTS.now + 100)).toBe(900);
+    expect(record.pendingPrefillTokens(INPUTS.now + 100)).toBe(900);
     expect(record.load(INPUTS.now + 5_000)).toBe(0);
   });
 
--- a/packages/rampswitch-serving/src/choice/leaving_incarnations.ts
+++ b/packages/rampswitch-serving/src/choice/leaving_incarnations.ts
@@ -7,13 +7,16 @@
  *
  * @module
  */
-import { nameOfLife, type ServerLife } from "../model/backend_server.ts";
+import {
+  incarnationId,
+  type ServerIncarnation,
+} from "../model/backend_server.ts";
 
 /**
  * An incarnation that advertised that it leaves, in a message to another host. It
  * holds an age since hosts have no common clock.
  */
-export interface LeavingNews extends ServerLife {
+export interface LeavingUpdate extends ServerIncarnation {
   /** Milliseconds since a host read the advertisement. */
   readonly age: number;
 }
@@ -27,7 +30,7 @@
   /** The incarnation's entry in the store, which all hosts read. */
   | "entry";
 
-interface LeavingIncarnation extends ServerLife {
+interface LeavingIncarnation extends ServerIncarnation {
   readonly since: number;
   readonly origin: LeavingOrigin;
 }
@@ -55,20 +58,20 @@
   readonly #known = new Map<string, LeavingIncarnation>();
 
   /** When an incarnation first advertised that it leaves; `undefined` if it did not. */
-  since(incarnation: ServerLife): number | undefined {
+  since(incarnation: ServerIncarnation): number | undefined {
     return this.#known.size === 0
       ? undefined
-      : this.#known.get(nameOfLife(incarnation))?.since;
+      : this.#known.get(incarnationId(incarnation))?.since;
   }
 
   /**
    * Adds an incarnation; returns whether it was unknown. The earliest time is stored.
    */
   add(
-    { id, born }: ServerLife,
+    { id, born }: ServerIncarnation,
     advertised: { readonly since: number; readonly origin: LeavingOrigin },
   ): boolean {
-    const name = nameOfLife({ id, born });
+    const name = incarnationId({ id, born });
     const known = this.#known.get(name);
     if (known !== undefined && known.since <= advertised.since) return false;
     this.#known.set(name, { id, born, ...advertised });
@@ -84,9 +87,9 @@
     now: number,
     options: {
       readonly ownOnly: boolean;
-      isStillNeeded(incarnation: ServerLife): boolean;
+      isStillNeeded(incarnation: ServerIncarnation): boolean;
     },
-  ): readonly LeavingNews[] {
+  ): readonly LeavingUpdate[] {
     return [...this.#known.values()]
       .filter(({ origin }) => IS_REPORTED[origin](options))
       .filter(
--- a/packages/rampswitch-serving/src/choice/prefix_cache_estimate.ts
+++ b/packages/rampswitch-serving/src/choice/prefix_cache_estimate.ts
@@ -19,7 +19,7 @@
 const CACHE_MEMORY_SHARE = 0.6;
 
 /** Estimates the prompt parts that each backend server has cached. */
-export class PrefixKnowledge {
+export class PrefixCacheEstimate {
   readonly #servers = new Map<string, ServerCache>();
 
   /** Records that a server processes or has processed these parts. */
--- a/packages/rampswitch-serving/src/choice/prefix_copy.ts
+++ b/packages/rampswitch-serving/src/choice/prefix_copy.ts
@@ -8,7 +8,7 @@
  */
 import type { EngineLimits } from "../model/configuration.ts";
 import type { PromptPart } from "../model/request.ts";
-import type { PrefixKnowledge } from "./prefix_cache_estimate.ts";
+import type { PrefixCacheEstimate } from "./prefix_cache_estimate.ts";
 import type { ServerRecord } from "./server_record.ts";
 
 /** Time to start a copy of cached parts, in milliseconds; engines take 3 to 6. */
@@ -41,7 +41,7 @@
  */
 export function findCopySource(
   records: readonly ServerRecord[],
-  prefixes: PrefixKnowledge,
+  prefixes: PrefixCacheEstimate,
   { engine, now, parts }: CopyInputs,
 ): CopySource | undefined {
   if (engine?.copyTokensPerMillisecond === undefined) return undefined;
--- a/packages/rampswitch-serving/src/choice/server_back_off.ts
+++ b/packages/rampswitch-serving/src/choice/server_back_off.ts
@@ -15,7 +15,7 @@
   /** Requested length. */
   readonly milliseconds: number;
   /** Time between its end and the first send of this host, in milliseconds. */
-  readonly returnsAfter: number;
+  readonly returnDelay: number;
 }
 
 /**
@@ -47,23 +47,23 @@
   }
 
   /** Applies a requested back-off. Of several back-offs, the one that ends last counts. */
-  asked({ now, milliseconds, returnsAfter }: BackOffRequest): void {
+  requested({ now, milliseconds, returnDelay }: BackOffRequest): void {
     const endsAt = now + Math.min(milliseconds, MAXIMUM_BACK_OFF_MILLISECONDS);
     if (endsAt <= this.#endsAt) return;
     this.#backOffs = [...this.#recent(now), { from: now, until: endsAt }];
     this.#endsAt = endsAt;
-    this.#returnsAt = endsAt + returnsAfter;
+    this.#returnsAt = endsAt + returnDelay;
     this.#maximumInFlight = 1;
   }
 
   /** Whether nothing may be sent yet. */
-  holds(now: number): boolean {
+  isActive(now: number): boolean {
     return now < this.#returnsAt;
   }
 
   /** Whether the back-off allows one more request. */
-  takes(now: number): boolean {
-    return !this.holds(now) && this.#inFlight < this.#maximumInFlight;
+  allowsSend(now: number): boolean {
+    return !this.isActive(now) && this.#inFlight < this.#maximumInFlight;
   }
 
   /**
--- a/packages/rampswitch-serving/src/choice/server_directory.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory.ts
@@ -9,17 +9,17 @@
  */
 import {
   type BackendServer,
-  nameOfLife,
-  type ServerLife,
+  incarnationId,
+  type ServerIncarnation,
 } from "../model/backend_server.ts";
 import {
   LeavingIncarnations,
-  type LeavingNews,
+  type LeavingUpdate,
   type LeavingOrigin,
 } from "./leaving_incarnations.ts";
 import {
   ServerRecord,
-  type ToldWork,
+  type ReportedWork,
   type WorkAtServer,
 } from "./server_record.ts";
 
@@ -109,7 +109,7 @@
    * The advertisement takes precedence over the state in the server's entry.
    */
   advertisedLeaving(
-    incarnation: ServerLife,
+    incarnation: ServerIncarnation,
     advertised: {
       readonly since: number;
       readonly now: number;
@@ -120,7 +120,7 @@
     const record = this.#records.get(incarnation.id);
     const isListed =
       record !== undefined &&
-      nameOfLife(record.entry) === nameOfLife(incarnation);
+      incarnationId(record.entry) === incarnationId(incarnation);
     if (isListed && record.entry.state === "ready") {
       this.#list(record, record.entry, advertised.now);
     }
@@ -131,7 +131,7 @@
   leavingUpdates(
     now: number,
     { ownOnly }: { readonly ownOnly: boolean },
-  ): readonly LeavingNews[] {
+  ): readonly LeavingUpdate[] {
     return this.#leavingIncarnations.updates(now, {
       ownOnly,
       // While the entry still says "ready", other hosts can't read this in the store.
@@ -149,7 +149,7 @@
     const gone = this.#gone.get(entry.id)?.record;
     return (
       gone !== undefined &&
-      gone.life === nameOfLife(entry) &&
+      gone.incarnation === incarnationId(entry) &&
       gone.entry.address === entry.address
     );
   }
@@ -163,7 +163,7 @@
    * Returns the servers of a service, including those whose entries can't be read or
    * were removed recently.
    */
-  everOf(service: string): readonly ServerRecord[] {
+  allOf(service: string): readonly ServerRecord[] {
     const gone = [...this.#gone.values()]
       .map(({ record }) => record)
       .filter(({ entry }) => entry.service === service);
@@ -184,22 +184,29 @@
   }
 
   /** Applies an update of a peer's work at servers, by server id. */
-  heardPeer(
+  receivePeerWork(
     peer: string,
-    work: Readonly<Record<string, ToldWork>>,
+    work: Readonly<Record<string, ReportedWork>>,
     now: number,
   ): void {
     this.#records.forEach((record, id) => {
       const reported = work[id];
       // Peers receive a new incarnation earlier or later than this host.
       const ofThisIncarnation =
-        reported !== undefined && record.isLife(reported.born);
-      record.heardPeer(peer, ofThisIncarnation ? reported : undefined, now);
+        reported !== undefined && record.matchesIncarnation(reported.born);
+      record.receivePeerWork(
+        peer,
+        ofThisIncarnation ? reported : undefined,
+        now,
+      );
     });
   }
 
   /** Returns the work of all hosts but one, by server id, without idle servers. */
-  workBeside(peer: string, now: number): Readonly<Record<string, ToldWork>> {
+  workExcept(
+    peer: string,
+    now: number,
+  ): Readonly<Record<string, ReportedWork>> {
     return Object.fromEntries(
       this.all()
         .map((record) => [record, record.workExcept(peer, now)] as const)
@@ -216,7 +223,7 @@
   }
 
   /** Returns the work of this host, by server id, without idle servers. */
-  ownWork(): Readonly<Record<string, ToldWork>> {
+  ownWork(): Readonly<Record<string, ReportedWork>> {
     return Object.fromEntries(
       this.all()
         .filter((record) => record.ownRunning > 0)
@@ -247,7 +254,7 @@
   #sameIncarnation(known: ServerRecord, entry: BackendServer): ServerRecord {
     const lapsed = this.#gone.has(entry.id);
     return lapsed && entry.born === undefined
-      ? new ServerRecord(entry, { restarted: false, backOff: known.rest })
+      ? new ServerRecord(entry, { restarted: false, backOff: known.backOff })
       : known;
   }
 
@@ -306,6 +313,9 @@
     : (born ?? -Infinity) - (other ?? -Infinity);
 }
 
-function reportedWorkOf({ entry }: ServerRecord, work: WorkAtServer): ToldWork {
+function reportedWorkOf(
+  { entry }: ServerRecord,
+  work: WorkAtServer,
+): ReportedWork {
   return { ...work, born: entry.born };
 }
--- a/packages/rampswitch-serving/src/choice/server_directory_test.ts
+++ b/packages/rampswitch-serving/src/choice/server_directory_test.ts
@@ -39,8 +39,8 @@
   former.started(500);
   former.reported({ running: 6, waiting: 3, slots: 8 }, 0);
   former.failed(0, DOWN);
-  const work = { running: 4, unreadTokens: 900, born: ENTRY.born };
-  directory.heardPeer("b", { s1: work }, 0);
+  const work = { running: 4, pendingPrefillTokens: 900, born: ENTRY.born };
+  directory.receivePeerWork("b", { s1: work }, 0);
   return { directory, former };
 }
 
@@ -55,7 +55,7 @@
     const record = directory.get("s1");
     expect(record).not.toBe(former);
     expect(record?.load(1)).toBe(0);
-    expect(record?.unreadTokens(1)).toBe(0);
+    expect(record?.pendingPrefillTokens(1)).toBe(0);
     expect(record?.ownRunning).toBe(0);
     expect(record?.failureShare).toBe(0);
     expect(record?.isEjected(1)).toBe(false);
@@ -97,7 +97,7 @@
     const { directory } = directoryWithWork();
     directory.put(RESTARTED, 1);
     const loadAfterUpdate = (born: number | undefined) => {
-      directory.heardPeer("b", { s1: { ...PEER_WORK, born } }, 1);
+      directory.receivePeerWork("b", { s1: { ...PEER_WORK, born } }, 1);
       return directory.get("s1")?.load(1);
     };
     expect(
@@ -106,7 +106,7 @@
   });
 });
 
-const PEER_WORK = { running: 4, unreadTokens: 900 };
+const PEER_WORK = { running: 4, pendingPrefillTokens: 900 };
 
 describe("an incarnation whose entry lapsed", () => {
   test("keeps its record and its work", () => {
@@ -209,7 +209,11 @@
   const running = random.below(6);
   const drawn = (model.born ?? 0) + random.below(3) - 1;
   const born = drawn <= 0 ? undefined : drawn;
-  directory.heardPeer(peer, { s1: { running, unreadTokens: 0, born } }, 0);
+  directory.receivePeerWork(
+    peer,
+    { s1: { running, pendingPrefillTokens: 0, born } },
+    0,
+  );
   if (!model.listed) return;
   const anyIncarnation = born === undefined && !model.restarted;
   const ofThisIncarnation = anyIncarnation || born === model.born;
--- a/packages/rampswitch-serving/src/choice/server_record.ts
+++ b/packages/rampswitch-serving/src/choice/server_record.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import { type BackendServer, nameOfLife } from "../model/backend_server.ts";
+import { type BackendServer, incarnationId } from "../model/backend_server.ts";
 import type { ReportedLoad } from "../model/request.ts";
 import { ServerBackOff } from "./server_back_off.ts";
 
@@ -16,11 +16,11 @@
 export interface WorkAtServer {
   readonly running: number;
   /** Prompt tokens that were sent and whose prefill has not ended. */
-  readonly unreadTokens: number;
+  readonly pendingPrefillTokens: number;
 }
 
 /** Work of one host at one incarnation of a backend server, as a peer reports it. */
-export interface ToldWork extends WorkAtServer {
+export interface ReportedWork extends WorkAtServer {
   /**
    * Start of that incarnation, in milliseconds since the epoch; `undefined` if the peer
    * does not know or report it.
@@ -31,9 +31,9 @@
 /** Callbacks for the progress of one send. */
 export interface StartedWork {
   /** The server accepted the request and did not turn it away. */
-  taken(): void;
+  requestAccepted(): void;
   /** The prefill of the prompt has ended. */
-  readPrompt(): void;
+  prefillEnded(): void;
   /** The request has ended at the server. */
   ended(): void;
 }
@@ -78,7 +78,7 @@
   /** Whether its entry says that it is ready, whatever the server itself advertises. */
   isListedReady = true;
   /** Back-off that the server requested from this host. */
-  readonly rest: ServerBackOff;
+  readonly backOff: ServerBackOff;
   /** When its end was announced, in milliseconds on the monotonic clock. */
   leavingSince: number | undefined;
   #running = 0;
@@ -102,13 +102,13 @@
     } = { restarted: false },
   ) {
     this.entry = entry;
-    this.rest = options.backOff ?? new ServerBackOff();
+    this.backOff = options.backOff ?? new ServerBackOff();
     this.#restarted = options.restarted;
   }
 
   /** Name of this incarnation, unique among all incarnations of all servers. */
-  get life(): string {
-    return nameOfLife(this.entry);
+  get incarnation(): string {
+    return incarnationId(this.entry);
   }
 
   /** Whether a later incarnation of the server is known, so this one has ended. */
@@ -127,7 +127,7 @@
    * A report that names no incarnation may refer to any, so it is ignored if this host
    * knew a former one.
    */
-  isLife(born: number | undefined): boolean {
+  matchesIncarnation(born: number | undefined): boolean {
     const mayBeAny = born === undefined && !this.#restarted;
     return mayBeAny || born === this.entry.born;
   }
@@ -139,7 +139,10 @@
 
   /** This host's work at the server, to report to peers. */
   get ownWork(): WorkAtServer {
-    return { running: this.#running, unreadTokens: this.#pendingPrefillTokens };
+    return {
+      running: this.#running,
+      pendingPrefillTokens: this.#pendingPrefillTokens,
+    };
   }
 
   /** Moving average of the share of failed requests, 0 to 1. */
@@ -152,7 +155,7 @@
    * effect.
    */
   started(prefillTokens: number): StartedWork {
-    const afterBackOff = this.rest.sent(this.entry.slots);
+    const afterBackOff = this.backOff.sent(this.entry.slots);
     this.#running += 1;
     this.#pendingPrefillTokens += prefillTokens;
     let pendingTokens = prefillTokens;
@@ -162,8 +165,8 @@
       pendingTokens = 0;
     };
     return {
-      readPrompt: endPrefill,
-      taken: () => afterBackOff.requestAccepted(),
+      prefillEnded: endPrefill,
+      requestAccepted: () => afterBackOff.requestAccepted(),
       ended: () => {
         afterBackOff.ended();
         endPrefill();
@@ -174,7 +177,11 @@
   }
 
   /** Applies an update of a peer's work at the server; `undefined` if it has none. */
-  heardPeer(peer: string, work: WorkAtServer | undefined, now: number): void {
+  receivePeerWork(
+    peer: string,
+    work: WorkAtServer | undefined,
+    now: number,
+  ): void {
     if (work === undefined) this.#peers.delete(peer);
     else this.#peers.set(peer, { ...work, receivedAt: now });
   }
@@ -186,7 +193,10 @@
       peerWork !== undefined && isFresh(peerWork, now) ? peerWork : NO_WORK;
     return {
       running: Math.max(0, this.#reportedRunning(now) - fresh.running),
-      unreadTokens: Math.max(0, this.unreadTokens(now) - fresh.unreadTokens),
+      pendingPrefillTokens: Math.max(
+        0,
+        this.pendingPrefillTokens(now) - fresh.pendingPrefillTokens,
+      ),
     };
   }
 
@@ -206,9 +216,9 @@
   }
 
   /** Returns the prompt tokens whose prefill is pending there, from all hosts. */
-  unreadTokens(now: number): number {
+  pendingPrefillTokens(now: number): number {
     return this.#peerWork(now).reduce(
-      (sum, work) => sum + work.unreadTokens,
+      (sum, work) => sum + work.pendingPrefillTokens,
       this.#pendingPrefillTokens,
     );
   }
@@ -275,7 +285,7 @@
   }
 }
 
-const NO_WORK: WorkAtServer = { running: 0, unreadTokens: 0 };
+const NO_WORK: WorkAtServer = { running: 0, pendingPrefillTokens: 0 };
 
 function isFresh(work: PeerWork, now: number): boolean {
   return now - work.receivedAt < PEER_WORK_LIFETIME_MILLISECONDS;
--- a/packages/rampswitch-serving/src/choice/slot_admission.ts
+++ b/packages/rampswitch-serving/src/choice/slot_admission.ts
@@ -67,7 +67,7 @@
 }
 
 /** Caches totals by service, so that not every request adds up all servers. */
-export class KnownPlaces {
+export class SlotTotalsCache {
   readonly #totals = new Map<
     string,
     { readonly at: number; readonly totals: SlotTotals }
@@ -94,7 +94,7 @@
  * or wait for one no longer than a share of their target. A longer queue would delay
  * all requests and complete none of them sooner.
  */
-export function shareWithPlaces(
+export function admittedShare(
   { slots, load, running }: SlotTotals,
   demand: SlotDemand,
 ): number {
--- a/packages/rampswitch-serving/src/choice/slot_admission_test.ts
+++ b/packages/rampswitch-serving/src/choice/slot_admission_test.ts
@@ -3,10 +3,10 @@
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
 import {
-  KnownPlaces,
+  SlotTotalsCache,
   type SlotDemand,
   slotTotals,
-  shareWithPlaces,
+  admittedShare,
 } from "./slot_admission.ts";
 
 const DEMAND: SlotDemand = {
@@ -24,12 +24,12 @@
 
 describe("share of the requests that are accepted", () => {
   test("is 1 while slots are free or become free in time", () => {
-    expect(shareWithPlaces(fleet(44, 7), DEMAND)).toBe(1);
-    expect(shareWithPlaces(fleet(44, 12), DEMAND)).toBe(1);
+    expect(admittedShare(fleet(44, 7), DEMAND)).toBe(1);
+    expect(admittedShare(fleet(44, 12), DEMAND)).toBe(1);
   });
 
   test("is what full engines can complete", () => {
-    const share = shareWithPlaces(fleet(20, 13.5), DEMAND);
+    const share = admittedShare(fleet(20, 13.5), DEMAND);
     // 200 of the 312 requests that arrive in 1.2 s complete in that time.
     expect(share).toBeGreaterThan(0.5);
     expect(share).toBeLessThan(0.8);
@@ -37,7 +37,7 @@
 
   test("falls with the length of the queue, down to 0", () => {
     const shares = [12, 16, 20, 30].map((load) =>
-      shareWithPlaces(fleet(20, load), DEMAND),
+      admittedShare(fleet(20, load), DEMAND),
     );
     expect(shares).toEqual(shares.toSorted((left, right) => right - left));
     expect(shares.at(-1)).toBe(0);
@@ -61,7 +61,7 @@
           lagMilliseconds: number,
         }),
         (servers, demand) => {
-          const share = shareWithPlaces(slotTotals(servers), demand);
+          const share = admittedShare(slotTotals(servers), demand);
           expect(share).toBeGreaterThanOrEqual(0);
           expect(share).toBeLessThanOrEqual(1);
         },
@@ -72,17 +72,17 @@
   test("is not lowered by the false report of a single server", () => {
     const lying = { slots: 12, load: 1e9 };
     const servers = Array.from({ length: 20 }, () => ({ slots: 12, load: 6 }));
-    expect(shareWithPlaces(slotTotals([...servers, lying]), DEMAND)).toBe(1);
+    expect(admittedShare(slotTotals([...servers, lying]), DEMAND)).toBe(1);
   });
 
   test("is 1 without servers, so that the choice gives the reason", () => {
-    expect(shareWithPlaces(slotTotals([]), DEMAND)).toBe(1);
+    expect(admittedShare(slotTotals([]), DEMAND)).toBe(1);
   });
 });
 
 describe("cached slot totals", () => {
   test("are computed at most ten times per second", () => {
-    const cache = new KnownPlaces();
+    const cache = new SlotTotalsCache();
     let reads = 0;
     const servers = () => {
       reads += 1;
--- a/packages/rampswitch-serving/src/configuration/configuration_follower.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower.ts
@@ -420,7 +420,7 @@
    * Applies changes of servers from a relay instead of querying the store. An
    * `undefined` batch means that the relay has lost the store.
    */
-  serversByRelay(batch: ChangeBatch | undefined): void {
+  receiveServers(batch: ChangeBatch | undefined): void {
     if (!this.#serversListed) return;
     const now = this.#parts.clock.now();
     if (batch !== undefined && this.#servers.take(batch)) {
--- a/packages/rampswitch-serving/src/configuration/configuration_follower_test.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower_test.ts
@@ -410,7 +410,7 @@
     const clock = new ManualClock(1_000);
     const started = await follow(store, clock, MEMBER);
     started.receiveRelayConfirmation(5, 100);
-    started.serversByRelay(REMOVAL);
+    started.receiveServers(REMOVAL);
     expect(gone).toEqual(["s1"]);
   });
 
@@ -421,7 +421,7 @@
     started.receiveRelayConfirmation(5, 3_000);
     await advance(clock, 400);
     started.receiveRelayConfirmation(5, 100);
-    started.serversByRelay(REMOVAL);
+    started.receiveServers(REMOVAL);
     await advance(clock, 1_500);
     expect(gone).toEqual([]);
     await advance(clock, 600);
@@ -470,17 +470,17 @@
     const started = await follow(store, clock);
     const first = store.pendingWatches.get("servers/");
     const changes = { after: 6, version: 6, events: [] };
-    started.serversByRelay(changes);
+    started.receiveServers(changes);
     await advance(clock, 400);
     await advance(clock, 400);
-    started.serversByRelay(changes);
+    started.receiveServers(changes);
     // The other relay reported changes just now.
-    started.serversByRelay(undefined);
+    started.receiveServers(undefined);
     await advance(clock, 400);
     expect(store.pendingWatches.get("servers/")).toBe(first);
     await advance(clock, 400);
     await advance(clock, 400);
-    started.serversByRelay(undefined);
+    started.receiveServers(undefined);
     await advance(clock, 200);
     expect(store.pendingWatches.get("servers/")).not.toBe(first);
   });
--- a/packages/rampswitch-serving/src/duties/capacity_duty.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty.ts
@@ -190,7 +190,7 @@
       needed,
     });
     const backingOff = ready.reduce(
-      (sum, { rest }) => sum + rest.share(now),
+      (sum, { backOff: rest }) => sum + rest.share(now),
       0,
     );
     return byLimits + Math.ceil(backingOff);
--- a/packages/rampswitch-serving/src/duties/capacity_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_duty_test.ts
@@ -7,7 +7,7 @@
 import { RouteIndex } from "../intake/route_index.ts";
 import type { ServerOrder } from "../model/cloud.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { loneRollouts } from "../rollout/rollout_standin.ts";
+import { singleHostRollouts } from "../rollout/rollout_standin.ts";
 import { CapacityDuty, type CapacityParts } from "./capacity_duty.ts";
 
 const DATA_HALLS = ["a", "b", "c", "d"];
@@ -20,7 +20,7 @@
     {
       name: "models",
       maximumConnections: 100,
-      engine: { slots: 32, memoryTokens: 250_000, movable: true },
+      engine: { slots: 32, memoryTokens: 250_000, migratable: true },
       capacity: {
         minimum: 1,
         maximum: 46,
@@ -67,7 +67,7 @@
     directory,
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
-    rollouts: loneRollouts(directory),
+    rollouts: singleHostRollouts(directory),
     dataHalls: DATA_HALLS,
     load: () => ({ running: 0, readTokensPerSecond: 0, readingRate: 40 }),
     holdMilliseconds: () => 1_000,
--- a/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
+++ b/packages/rampswitch-serving/src/duties/capacity_plan_test.ts
@@ -48,7 +48,7 @@
 
 describe("needed servers", () => {
   test("follow from the prompt tokens to read and the slots in use", () => {
-    const engine = { slots: 32, memoryTokens: 500_000, movable: true };
+    const engine = { slots: 32, memoryTokens: 500_000, migratable: true };
     const load = { running: 0, readTokensPerSecond: 0, readingRate: 50 };
     expect(serversNeeded(load, engine)).toBe(3);
     expect(
@@ -58,7 +58,7 @@
   });
 
   test("are utilized more fully the more of them share a load", () => {
-    const engine = { slots: 16, memoryTokens: 500_000, movable: true };
+    const engine = { slots: 16, memoryTokens: 500_000, migratable: true };
     const shares = [1, 4, 16, 64].map((filled) => {
       const load = { running: filled * 16, readTokensPerSecond: 0 };
       const needed = serversNeeded({ ...load, readingRate: 50 }, engine);
--- a/packages/rampswitch-serving/src/duties/duty_keeper.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper.ts
@@ -14,7 +14,7 @@
   type Repetition,
 } from "rampswitch-utils";
 import { eraOf, type ObjectStore, type StoredObject } from "rampswitch-store";
-import type { LeaseNews } from "../membership/peer_news.ts";
+import type { LeaseUpdate } from "../membership/peer_news.ts";
 import type { Fence } from "../model/cloud.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 import {
@@ -142,7 +142,7 @@
   }
 
   /** The lease to report to the peers: held by this host, or given up by it. */
-  get leaseUpdate(): LeaseNews | undefined {
+  get leaseUpdate(): LeaseUpdate | undefined {
     const held = this.#held;
     if (held !== undefined) {
       return { fence: held.lease.fence, version: held.version };
@@ -153,7 +153,7 @@
   }
 
   /** Receives a holder's update about its lease. */
-  receiveLease(update: LeaseNews): void {
+  receiveLease(update: LeaseUpdate): void {
     const now = this.#parts.clock.now();
     if (update.version === RELEASED_LEASE_VERSION) {
       if (update.fence <= this.#receivedReleasedFence) return;
--- a/packages/rampswitch-serving/src/duties/host_duties.ts
+++ b/packages/rampswitch-serving/src/duties/host_duties.ts
@@ -16,7 +16,7 @@
 import { Result } from "true-myth";
 import type { ServerDirectory, ServerRecord } from "../choice/mod.ts";
 import type { RouteIndex } from "../intake/route_index.ts";
-import type { LeaseNews } from "../membership/mod.ts";
+import type { LeaseUpdate } from "../membership/mod.ts";
 import type { Cloud, CloudError, Fence } from "../model/cloud.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 import type { Rollouts, RolloutStore } from "../rollout/mod.ts";
@@ -77,7 +77,7 @@
   /** Stores states of roll-outs that are due, and follows their specs. */
   readonly rolloutStore: Pick<RolloutStore, "follow" | "store">;
   /** Incarnations of the other hosts that are present. */
-  lives(): readonly string[];
+  peerIncarnations(): readonly string[];
   /** Returns the load of a service over all hosts. */
   load(service: string): ServiceLoad;
   /** Time for which a request of a service holds a slot, in milliseconds. */
@@ -85,14 +85,14 @@
   /** Requests per second that a server accepts, if it advertises a limit. */
   limitOf(record: ServerRecord): number | undefined;
   /** Whether no request has arrived since this host started. */
-  idle(): boolean;
+  isIdle(): boolean;
   /** The configuration, once the servers are listed too. */
   routes(): RouteIndex | undefined;
   /**
    * Whether this host receives enough of the others' updates to hold the
    * duties.
    */
-  eligible(): boolean;
+  isEligible(): boolean;
 }
 
 /** The duties of one host. */
@@ -126,7 +126,7 @@
       load: (service) => parts.load(service),
       holdMilliseconds: (service) => parts.holdMilliseconds(service),
       limitOf: (record) => parts.limitOf(record),
-      isIdle: () => parts.idle(),
+      isIdle: () => parts.isIdle(),
     });
   }
 
@@ -137,7 +137,7 @@
     this.#keeper = this.#ownership.own(
       new DutyKeeper({
         ...this.#parts,
-        isEligible: () => this.#parts.eligible(),
+        isEligible: () => this.#parts.isEligible(),
         times: { ...LEASE_TIMES, afterRelease: leaseMilliseconds },
         duties: {
           finalUsage: (known) =>
@@ -157,7 +157,7 @@
   }
 
   /** The lease to report to the peers: held by this host, or given up by it. */
-  get lease(): LeaseNews | undefined {
+  get lease(): LeaseUpdate | undefined {
     return this.#keeper?.leaseUpdate;
   }
 
@@ -167,7 +167,7 @@
   }
 
   /** Receives a holder's update about its lease. */
-  heard(lease: LeaseNews): void {
+  receiveLease(lease: LeaseUpdate): void {
     this.#keeper?.receiveLease(lease);
   }
 
@@ -180,7 +180,11 @@
    * Records an announced reclaim of a reclaimable server; `left` are still
    * ready.
    */
-  reclaimableLeaves(service: string, dataHall: string, left: number): void {
+  recordAnnouncedReclaim(
+    service: string,
+    dataHall: string,
+    left: number,
+  ): void {
     const now = this.#parts.clock.now();
     this.#capacity.recordAnnouncedReclaim(service, dataHall, {
       remaining: left,
@@ -214,7 +218,7 @@
   async #storeRolloutStates(): Promise<void> {
     const { clock, rollouts, rolloutStore } = this.#parts;
     rolloutStore.follow();
-    const due = rollouts.dueStates(clock.now(), this.#parts.lives());
+    const due = rollouts.dueStates(clock.now(), this.#parts.peerIncarnations());
     if (this.isHolder) await rolloutStore.store(due);
   }
 
--- a/packages/rampswitch-serving/src/duties/usage_counter.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter.ts
@@ -44,7 +44,7 @@
   }
 
   /** Counts a request that began to run. */
-  began(workspace: string, wallTime: number): void {
+  countRequest(workspace: string, wallTime: number): void {
     const window = this.windowOf(wallTime);
     const counts = this.#own[window] ?? {};
     this.#own = newestWindows(
@@ -57,14 +57,14 @@
   }
 
   /** Returns own counts of the newest windows, to report to the peers. */
-  own(wallTime: number): WindowCounts {
+  ownCounts(wallTime: number): WindowCounts {
     return newestWindows(this.#own, this.windowOf(wallTime));
   }
 
   /**
    * Receives a peer's counts; each message repeats all counts of its windows.
    */
-  heard(peer: string, incarnation: string, counts: WindowCounts): void {
+  receiveCounts(peer: string, incarnation: string, counts: WindowCounts): void {
     this.#peers.set(`${peer}/${incarnation}`, {
       ...this.#peers.get(`${peer}/${incarnation}`),
       ...counts,
@@ -129,7 +129,7 @@
    * each window. Every host calls it with each round of gossip, because hosts
    * that never hold the duties receive all counts too.
    */
-  forgetOld(wallTime: number): void {
+  dropOldWindows(wallTime: number): void {
     const oldest = this.windowOf(wallTime) - LATE_REPORT_WINDOWS;
     if (oldest === this.#droppedBefore) return;
     this.#droppedBefore = oldest;
--- a/packages/rampswitch-serving/src/duties/usage_counter_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter_test.ts
@@ -15,8 +15,8 @@
   test("are dropped once their windows are too old", () => {
     const counter = new UsageCounter(WINDOW_MILLISECONDS);
     for (let window = 0; window < WINDOWS; window += 1) {
-      counter.heard("peer", "1", { [window]: { w: 1 } });
-      counter.forgetOld(window * WINDOW_MILLISECONDS);
+      counter.receiveCounts("peer", "1", { [window]: { w: 1 } });
+      counter.dropOldWindows(window * WINDOW_MILLISECONDS);
     }
     const known = Array.from({ length: WINDOWS }, (_, window) => window).filter(
       (window) => counter.hasCounts(window),
@@ -28,8 +28,12 @@
 describe("counts to store with the lease", () => {
   test("are those of near windows that are not final", () => {
     const counter = new UsageCounter(WINDOW_MILLISECONDS);
-    counter.heard("peer", "1", { 98: { w: 1 }, 99: { w: 2 }, 900: { w: 3 } });
-    counter.began("w", 100 * WINDOW_MILLISECONDS);
+    counter.receiveCounts("peer", "1", {
+      98: { w: 1 },
+      99: { w: 2 },
+      900: { w: 3 },
+    });
+    counter.countRequest("w", 100 * WINDOW_MILLISECONDS);
     const open = {
       wallTime: 100 * WINDOW_MILLISECONDS,
       isFinal: (window: number) => window === 98,
--- a/packages/rampswitch-serving/src/duties/usage_duty_test.ts
+++ b/packages/rampswitch-serving/src/duties/usage_duty_test.ts
@@ -42,7 +42,7 @@
   test("include the counts of its peers and of the lease object", () => {
     const { counter, duty } = startedDuty();
     counter.restore({ "a/1": { 99: { w: 40 } } }, "self/2");
-    counter.heard("b", "1", { 99: { w: 2 }, 100: { w: 7 } });
+    counter.receiveCounts("b", "1", { 99: { w: 2 }, 100: { w: 7 } });
     expect(duty.finalUsage(NO_FINAL_USAGE, LATER).reports).toEqual({
       99: { w: 42 },
     });
@@ -55,14 +55,14 @@
 
   test("wait until the fleet time is reliable", () => {
     const { counter, duty } = startedDuty();
-    counter.heard("b", "1", { 99: { w: 2 } });
+    counter.receiveCounts("b", "1", { 99: { w: 2 } });
     const time = { ...LATER, isSettled: false };
     expect(duty.finalUsage(NO_FINAL_USAGE, time)).toBe(NO_FINAL_USAGE);
   });
 
   test("repeat earlier final reports", () => {
     const { counter, duty } = startedDuty();
-    counter.heard("b", "1", { 99: { w: 2 } });
+    counter.receiveCounts("b", "1", { 99: { w: 2 } });
     const known = finalUsageFromReports({ 99: { w: 40 } });
     expect(duty.finalUsage(known, LATER)).toEqual(known);
   });
--- a/packages/rampswitch-serving/src/duties/usage_fleet_standin.ts
+++ b/packages/rampswitch-serving/src/duties/usage_fleet_standin.ts
@@ -17,7 +17,10 @@
 import { ServerDirectory } from "../choice/mod.ts";
 import type { Cloud, UsageReport } from "../model/cloud.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { loneRollouts, NO_ROLLOUT_STORE } from "../rollout/rollout_standin.ts";
+import {
+  singleHostRollouts,
+  EMPTY_ROLLOUT_STORE,
+} from "../rollout/rollout_standin.ts";
 import { HostDuties } from "./host_duties.ts";
 import { LeaseStore } from "./lease_store_standin.ts";
 import { SETTLING_DELAY_MILLISECONDS } from "./usage_duty.ts";
@@ -358,16 +361,16 @@
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
       directory: new ServerDirectory(),
-      rollouts: loneRollouts(),
-      rolloutStore: NO_ROLLOUT_STORE,
-      lives: () => [],
+      rollouts: singleHostRollouts(),
+      rolloutStore: EMPTY_ROLLOUT_STORE,
+      peerIncarnations: () => [],
       dataHalls: ["hall"],
       usageWindowMilliseconds: WINDOW_MILLISECONDS,
       leaseMilliseconds: 3_000,
       load: () => ({ running: 0, readTokensPerSecond: 0, readingRate: 0 }),
-      idle: () => true,
+      isIdle: () => true,
       routes: () => undefined,
-      eligible: () => simulated.isAlive,
+      isEligible: () => simulated.isAlive,
     });
     host.process = Object.assign(simulated, { duties });
     duties.start();
@@ -396,7 +399,10 @@
   #startRequests({ process, clockOffset }: SimulatedHost): void {
     if (process === undefined || this.#random.next() < 0.5) return;
     const workspace = `w${this.#random.below(2)}`;
-    process.duties.usage.began(workspace, this.#clock.now() + clockOffset);
+    process.duties.usage.countRequest(
+      workspace,
+      this.#clock.now() + clockOffset,
+    );
   }
 
   #exchangeGossip(): void {
@@ -406,8 +412,8 @@
       if (process === undefined) return;
       const { incarnation } = process;
       const { usage } = process.duties;
-      usage.forgetOld(this.#clock.now() + from.clockOffset);
-      const counts = usage.own(this.#clock.now() + from.clockOffset);
+      usage.dropOldWindows(this.#clock.now() + from.clockOffset);
+      const counts = usage.ownCounts(this.#clock.now() + from.clockOffset);
       const { lease } = process.duties;
       this.#hosts
         .filter((to) => to !== from)
@@ -415,8 +421,12 @@
           this.#clock.after(
             this.#randomTime(MAXIMUM_GOSSIP_DELAY_MILLISECONDS),
             () => {
-              to.process?.duties.usage.heard(from.name, incarnation, counts);
-              if (lease !== undefined) to.process?.duties.heard(lease);
+              to.process?.duties.usage.receiveCounts(
+                from.name,
+                incarnation,
+                counts,
+              );
+              if (lease !== undefined) to.process?.duties.receiveLease(lease);
             },
           ),
         );
--- a/packages/rampswitch-serving/src/host_gossip.ts
+++ b/packages/rampswitch-serving/src/host_gossip.ts
@@ -9,8 +9,8 @@
 import type { Clock } from "rampswitch-utils";
 import type { AdmittedTotals, WorkspaceLimits } from "./admission/mod.ts";
 import type {
-  LeavingNews,
-  PrefixKnowledge,
+  LeavingUpdate,
+  PrefixCacheEstimate,
   ServerDirectory,
 } from "./choice/mod.ts";
 import type { ConfigurationFollower } from "./configuration/configuration_follower.ts";
@@ -19,15 +19,19 @@
   type FleetDigest,
   type FleetView,
   type HostRole,
-  type LeaseNews,
-  type OwnNews,
+  type LeaseUpdate,
+  type OwnUpdate,
   PACE_BY_ROLE,
-  type PeerNews,
+  type PeerUpdate,
 } from "./membership/mod.ts";
-import type { Quarantine, QuarantineNews } from "./quarantine/mod.ts";
+import type { Quarantine, QuarantineUpdate } from "./quarantine/mod.ts";
 import type { Rollouts } from "./rollout/mod.ts";
-import type { LimitNews, ServerTurns, TurnNews } from "./server_limits/mod.ts";
-import type { LeavingStatements } from "./statements/mod.ts";
+import type {
+  LimitUpdate,
+  ServerPermits,
+  PermitUpdate,
+} from "./server_limits/mod.ts";
+import type { LeavingAdvertisements } from "./statements/mod.ts";
 import type { RecentDispatches } from "./relay/recent_dispatches.ts";
 import type { LoadMeter } from "./relay/load_meter.ts";
 import type { ReadingRates } from "./relay/reading_rates.ts";
@@ -37,7 +41,7 @@
   /** A monotonic clock. */
   readonly clock: Clock;
   readonly directory: ServerDirectory;
-  readonly prefixes: PrefixKnowledge;
+  readonly prefixes: PrefixCacheEstimate;
   readonly limits: WorkspaceLimits;
   readonly readingRates: ReadingRates;
   readonly dispatches: RecentDispatches;
@@ -46,8 +50,8 @@
   readonly follower: ConfigurationFollower;
   readonly quarantine: Quarantine;
   readonly rollouts: Rollouts;
-  readonly permits: ServerTurns;
-  readonly leavingAdvertisements: LeavingStatements;
+  readonly permits: ServerPermits;
+  readonly leavingAdvertisements: LeavingAdvertisements;
   /** Hosts that may issue permits for limited servers. */
   permitHolders(): readonly string[];
   /** Fleet time, the time of day on which the hosts agree, in milliseconds. */
@@ -65,9 +69,9 @@
   readonly #reportedTotals = new Map<number, AdmittedTotals>();
   readonly #leases = new Map<string, ReceivedLease>();
   /** Updates of this round, which a relay sends to each of its members. */
-  #quarantineUpdates: readonly QuarantineNews[] = [];
-  #leavingUpdates: readonly LeavingNews[] = [];
-  #limitUpdates: readonly LimitNews[] = [];
+  #quarantineUpdates: readonly QuarantineUpdate[] = [];
+  #leavingUpdates: readonly LeavingUpdate[] = [];
+  #limitUpdates: readonly LimitUpdate[] = [];
 
   constructor(parts: HostGossipParts) {
     this.#parts = parts;
@@ -89,18 +93,20 @@
   ownUpdate(message: {
     readonly sequence: number;
     readonly role: HostRole;
-  }): OwnNews {
+  }): OwnUpdate {
     const { limits } = this.#parts;
-    limits.setPace(PACE_BY_ROLE[message.role]);
+    limits.setGossipTiming(PACE_BY_ROLE[message.role]);
     if (message.role !== "member") limits.followPeers();
     this.#parts.follower.checkRelays();
-    this.#recordReported(message.sequence, limits.totals());
-    this.#quarantineUpdates = this.#parts.quarantine.news();
-    this.#leavingUpdates = this.#parts.leavingAdvertisements.news({
+    this.#recordReported(message.sequence, limits.admittedTotals());
+    this.#quarantineUpdates = this.#parts.quarantine.updates();
+    this.#leavingUpdates = this.#parts.leavingAdvertisements.updates({
       ownOnly: false,
     });
-    this.#limitUpdates = this.#parts.permits.limits(this.#parts.clock.now());
-    this.#parts.duties.usage.forgetOld(this.#parts.fleetTime());
+    this.#limitUpdates = this.#parts.permits.limitUpdates(
+      this.#parts.clock.now(),
+    );
+    this.#parts.duties.usage.dropOldWindows(this.#parts.fleetTime());
     // Every host maintains the history of the load, so that it can take the duties.
     this.#parts.follower.routes?.configuration.services.forEach(({ name }) =>
       this.load(name),
@@ -111,10 +117,10 @@
         this.#parts.follower.routes?.configuration.version ?? 0,
       configurationAge: this.#ownConfirmationAge(),
       followed: this.#parts.follower.followed,
-      admitted: this.#parts.limits.totals(),
+      admitted: this.#parts.limits.admittedTotals(),
       levels: limits.levels(this.#parts.clock.now()),
       work: this.#parts.directory.ownWork(),
-      counts: this.#parts.duties.usage.own(this.#parts.fleetTime()),
+      counts: this.#parts.duties.usage.ownCounts(this.#parts.fleetTime()),
       // In a large fleet, hosts agree on servers by hash instead of dispatches.
       dispatches:
         message.role === "direct"
@@ -123,17 +129,20 @@
       readTokens: this.#parts.meter.ownReadTokens(),
       lease: this.#parts.duties.lease,
       quarantine: this.#quarantineUpdates,
-      rollouts: this.#parts.rollouts.news(this.#parts.clock.now()),
+      rollouts: this.#parts.rollouts.updates(this.#parts.clock.now()),
       ...this.#permitUpdate(message.role),
-      leaving: this.#parts.leavingAdvertisements.news({
+      leaving: this.#parts.leavingAdvertisements.updates({
         ownOnly: message.role !== "direct",
       }),
     };
   }
 
-  #permitUpdate(role: HostRole): TurnNews {
+  #permitUpdate(role: HostRole): PermitUpdate {
     const holders = this.#parts.permitHolders();
-    return this.#parts.permits.news({ holders, tellsAll: role === "direct" });
+    return this.#parts.permits.updates({
+      holders,
+      reportsAll: role === "direct",
+    });
   }
 
   #recordReported(sequence: number, totals: AdmittedTotals): void {
@@ -157,13 +166,13 @@
       configurationAge: this.#ownConfirmationAge(),
       followed: this.#parts.follower.followed,
       // Before a relay has received the others' consumption, its levels are too high.
-      levels: limits.knowsLevels(now) ? limits.levels(now) : {},
+      levels: limits.hasFleetLevels(now) ? limits.levels(now) : {},
       silentShare: limits.silentShare(now),
-      work: directory.workBeside(host, now),
+      work: directory.workExcept(host, now),
       leases: own === undefined ? received : [own, ...received],
       servers: follower.recentServers(),
       quarantine: this.#quarantineUpdates,
-      rollouts: this.#parts.rollouts.word(now),
+      rollouts: this.#parts.rollouts.relayUpdates(now),
       limits: this.#limitUpdates,
       leaving: this.#leavingUpdates,
     };
@@ -179,7 +188,7 @@
         digest.configurationAge,
       );
     }
-    this.#parts.follower.serversByRelay(digest.servers);
+    this.#parts.follower.receiveServers(digest.servers);
     const { configuration } = digest.followed;
     const reachesStore = digest.servers !== undefined;
     const isBehind = this.#parts.follower.receiveRelayVersion(
@@ -188,16 +197,16 @@
     );
     if (isBehind) this.#parts.requestConfiguration(digest.relay);
     this.#parts.follower.receivePeerVersions(digest.followed);
-    directory.heardPeer(FLEET_SENDER, digest.work, now);
+    directory.receivePeerWork(FLEET_SENDER, digest.work, now);
     const acknowledged = this.#reportedTotals.get(digest.acknowledged);
     if (acknowledged !== undefined) {
       limits.followRelay({ ...digest, acknowledged }, now);
     }
-    this.#parts.quarantine.heard(digest.quarantine);
-    this.#parts.rollouts.heard(digest.rollouts, { now });
-    this.#parts.permits.heardLimits(digest.limits, 0);
-    this.#parts.leavingAdvertisements.heard(digest.leaving, 0);
-    digest.leases.forEach((lease) => this.#parts.duties.heard(lease));
+    this.#parts.quarantine.receive(digest.quarantine);
+    this.#parts.rollouts.received(digest.rollouts, { now });
+    this.#parts.permits.receiveLimits(digest.limits, 0);
+    this.#parts.leavingAdvertisements.received(digest.leaving, 0);
+    digest.leases.forEach((lease) => this.#parts.duties.receiveLease(lease));
   }
 
   #ownConfirmationAge(): number | undefined {
@@ -206,7 +215,7 @@
   }
 
   /** Applies a peer's update that was sent `age` milliseconds ago. */
-  receiveUpdate(update: PeerNews, age: number): void {
+  receiveUpdate(update: PeerUpdate, age: number): void {
     const now = this.#parts.clock.now();
     if (update.configurationAge !== undefined) {
       this.#parts.follower.receivePeerConfirmation(
@@ -215,10 +224,10 @@
       );
     }
     this.#parts.follower.receivePeerVersions(update.followed);
-    this.#parts.directory.heardPeer(update.host, update.work, now);
-    this.#parts.leavingAdvertisements.heard(update.leaving, age);
-    this.#parts.permits.heard(update.host, update, age);
-    this.#parts.limits.heard(
+    this.#parts.directory.receivePeerWork(update.host, update.work, now);
+    this.#parts.leavingAdvertisements.received(update.leaving, age);
+    this.#parts.permits.receive(update.host, update, age);
+    this.#parts.limits.receiveUpdate(
       update.host,
       {
         incarnation: update.incarnation,
@@ -228,23 +237,23 @@
       },
       now,
     );
-    this.#parts.quarantine.heard(update.quarantine);
-    this.#parts.rollouts.heard(update.rollouts, {
-      life: `${update.host}/${update.incarnation}`,
+    this.#parts.quarantine.receive(update.quarantine);
+    this.#parts.rollouts.received(update.rollouts, {
+      incarnation: `${update.host}/${update.incarnation}`,
       now,
     });
-    this.#parts.duties.usage.heard(
+    this.#parts.duties.usage.receiveCounts(
       update.host,
       update.incarnation,
       update.counts,
     );
-    this.#parts.meter.heard(
+    this.#parts.meter.receivePeerTotals(
       `${update.host}/${update.incarnation}`,
       update.readTokens,
     );
     update.dispatches.forEach(({ server, born, parts }) => {
       const record = this.#parts.directory.get(server);
-      if (record === undefined || !record.isLife(born)) return;
+      if (record === undefined || !record.matchesIncarnation(born)) return;
       const engine = this.#parts.follower.routes?.service(
         record.entry.service,
       )?.engine;
@@ -253,14 +262,14 @@
     });
     if (update.lease !== undefined) {
       this.#leases.set(update.host, { lease: update.lease, receivedAt: now });
-      this.#parts.duties.heard(update.lease);
+      this.#parts.duties.receiveLease(update.lease);
     }
   }
 }
 
 /** A peer's lease and when this host received it. */
 interface ReceivedLease {
-  readonly lease: LeaseNews;
+  readonly lease: LeaseUpdate;
   readonly receivedAt: number;
 }
 
--- a/packages/rampswitch-serving/src/intake/caller_server.ts
+++ b/packages/rampswitch-serving/src/intake/caller_server.ts
@@ -135,7 +135,7 @@
   }
 
   /** Applies the limits of a configuration. */
-  limit(limits: CallerLimits): void {
+  setLimits(limits: CallerLimits): void {
     this.#limits = limits;
     this.#server.headersTimeout = limits.headerMilliseconds;
     this.#server.keepAliveTimeout = limits.idleMilliseconds;
@@ -268,7 +268,7 @@
     view: ConfigurationView,
   ): Result<Destination, Refusal> {
     const { routes } = view;
-    if (!this.#context.startsRequests()) return refusal("stopping");
+    if (!this.#context.acceptsRequests()) return refusal("stopping");
     if (routes === undefined) return refusal("no_configuration");
     if (
       head.attemptId === undefined ||
@@ -332,7 +332,7 @@
   /** Refunds the charge of a request that does not run. */
   #refund({ workspace }: Destination, tokens: number): void {
     if (workspace === undefined) return;
-    this.#context.admission.giveBack({ workspace: workspace.name, tokens });
+    this.#context.admission.refund({ workspace: workspace.name, tokens });
   }
 
   /** Charges the request's tokens to the workspace's limit. */
@@ -369,7 +369,7 @@
       }),
       "Content-Length",
       "0",
-      ...(this.#context.endsConnections() || reason === "body_too_large"
+      ...(this.#context.closesConnections() || reason === "body_too_large"
         ? ["Connection", "close"]
         : []),
     ]);
@@ -399,7 +399,7 @@
   #rejectMalformed(error: Error, socket: Socket): void {
     this.#context.metrics.event("malformed_request");
     // The caller would take this answer for that of an earlier, running request.
-    const carriesRun = this.runs.some((run) => run.isAskedOn(socket));
+    const carriesRun = this.runs.some((run) => run.isAnsweredOn(socket));
     if (!socket.writable || socket.bytesWritten > 0 || carriesRun) {
       socket.destroy();
       return;
--- a/packages/rampswitch-serving/src/membership/fleet_hosts.ts
+++ b/packages/rampswitch-serving/src/membership/fleet_hosts.ts
@@ -6,13 +6,13 @@
  *
  * @module
  */
-import type { FleetDigest, PeerNews } from "./peer_news.ts";
+import type { FleetDigest, PeerUpdate } from "./peer_news.ts";
 import {
-  DIRECT_PACE,
+  DIRECT_GOSSIP_TIMING,
   needsRelays,
   type GossipTiming,
   type PlannedHost,
-  RELAYED_PACE,
+  RELAYED_GOSSIP_TIMING,
   relayOrder,
   relaysOf,
 } from "./relay_plan.ts";
@@ -58,10 +58,10 @@
   | "member";
 
 /** Timing of gossip by role. */
-export const PACE_BY_ROLE: Readonly<Record<HostRole, GossipTiming>> = {
-  direct: DIRECT_PACE,
-  relay: RELAYED_PACE,
-  member: RELAYED_PACE,
+export const GOSSIP_TIMING_BY_ROLE: Readonly<Record<HostRole, GossipTiming>> = {
+  direct: DIRECT_GOSSIP_TIMING,
+  relay: RELAYED_GOSSIP_TIMING,
+  member: RELAYED_GOSSIP_TIMING,
 };
 
 /** Rounds of gossip until the work of a host is known to another one. */
@@ -72,8 +72,8 @@
 };
 
 /** Age of a host's information on the work of others, in milliseconds. */
-export function newsLagMilliseconds(role: HostRole): number {
-  return PACE_BY_ROLE[role].interval * GOSSIP_ROUNDS[role];
+export function gossipLagMilliseconds(role: HostRole): number {
+  return GOSSIP_TIMING_BY_ROLE[role].interval * GOSSIP_ROUNDS[role];
 }
 
 /** State of another host. Times are in milliseconds of the monotonic clock. */
@@ -91,7 +91,7 @@
   /** When it last requested digests; `-Infinity` if its newest message did not. */
   readonly digestRequestedAt: number;
   readonly stopping: boolean;
-  readonly update: PeerNews | undefined;
+  readonly update: PeerUpdate | undefined;
 }
 
 /** A host in the store's list. */
@@ -150,7 +150,7 @@
   }
 
   /** Stores an update; returns whether it is newer than the known one. */
-  applyUpdate(update: PeerNews, at: number): boolean {
+  applyUpdate(update: PeerUpdate, at: number): boolean {
     const known = this.#hosts.get(update.host);
     const isSameIncarnation = known?.incarnation === update.incarnation;
     if (isSameIncarnation && update.sequence <= known.sequence) return false;
@@ -247,11 +247,11 @@
     const hasActiveHosts = this.all().some(
       (host) =>
         host.dataHall === this.#self.dataHall &&
-        now - host.receivedAt < RELAYED_PACE.silence,
+        now - host.receivedAt < RELAYED_GOSSIP_TIMING.silence,
     );
     return (
       !hasActiveHosts &&
-      silence >= RELAYED_PACE.silence &&
+      silence >= RELAYED_GOSSIP_TIMING.silence &&
       silence < RELAY_SEARCH_MILLISECONDS
     );
   }
@@ -312,7 +312,7 @@
   /** Hosts that recently requested digests from this one. */
   digestRequesters(now: number): readonly KnownHost[] {
     return this.all().filter(
-      (host) => now - host.digestRequestedAt < RELAYED_PACE.silence,
+      (host) => now - host.digestRequestedAt < RELAYED_GOSSIP_TIMING.silence,
     );
   }
 
@@ -322,7 +322,7 @@
       (host) =>
         host.dataHall === this.#self.dataHall &&
         now - Math.max(host.digestRequestedAt, host.relayAt) <
-          RELAYED_PACE.silence,
+          RELAYED_GOSSIP_TIMING.silence,
     );
   }
 
@@ -342,7 +342,7 @@
         (host) =>
           host.dataHall === dataHall &&
           !host.stopping &&
-          now - host.relayAt < RELAYED_PACE.silence,
+          now - host.relayAt < RELAYED_GOSSIP_TIMING.silence,
       );
       const planned = this.#hostsNamed(this.#plannedRelays(dataHall, now));
       const known = [...new Set([...active, ...planned])];
@@ -354,7 +354,7 @@
     const present = this.all().filter(
       (host) =>
         !host.stopping &&
-        (now - host.receivedAt < RELAYED_PACE.silence ||
+        (now - host.receivedAt < RELAYED_GOSSIP_TIMING.silence ||
           now - host.listedAt < NEWLY_LISTED_MILLISECONDS),
     );
     return relaysOf([this.#self, ...present], dataHall);
@@ -381,7 +381,8 @@
 
   #freshDigest(now: number): FleetDigest | undefined {
     const received = this.#digest;
-    return received !== undefined && now - received.at < RELAYED_PACE.silence
+    return received !== undefined &&
+      now - received.at < RELAYED_GOSSIP_TIMING.silence
       ? received.digest
       : undefined;
   }
--- a/packages/rampswitch-serving/src/membership/leaving_codec.ts
+++ b/packages/rampswitch-serving/src/membership/leaving_codec.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import * as z from "zod";
-import type { LeavingNews } from "../choice/mod.ts";
+import type { LeavingUpdate } from "../choice/mod.ts";
 import { NAME_SCHEMA } from "./permit_codec.ts";
 
 /**
@@ -21,7 +21,7 @@
 
 /** Encodes leaving incarnations; `undefined` when there are none. */
 export function encodedLeaving(
-  incarnations: readonly LeavingNews[],
+  incarnations: readonly LeavingUpdate[],
 ): z.input<typeof LEAVING_SCHEMA> {
   if (incarnations.length === 0) return undefined;
   return incarnations.map(({ id, born, age }) => [
@@ -34,7 +34,7 @@
 /** Decodes leaving incarnations. */
 export function leavingOf(
   encoded: z.output<typeof LEAVING_SCHEMA>,
-): readonly LeavingNews[] {
+): readonly LeavingUpdate[] {
   return (encoded ?? []).map(([id, born, age]) => ({
     id,
     born: born ?? undefined,
--- a/packages/rampswitch-serving/src/membership/membership.ts
+++ b/packages/rampswitch-serving/src/membership/membership.ts
@@ -18,13 +18,13 @@
 import type { ChangeBatch, ObjectStore } from "rampswitch-store";
 import type { LimitDecision } from "../admission/mod.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
-import type { TrialTurn } from "../quarantine/mod.ts";
-import type { TurnReply, TurnRequest } from "../server_limits/mod.ts";
+import type { TrialRank } from "../quarantine/mod.ts";
+import type { PermitReply, PermitRequest } from "../server_limits/mod.ts";
 import {
   FleetHosts,
   type HostRole,
   type KnownHost,
-  PACE_BY_ROLE,
+  GOSSIP_TIMING_BY_ROLE,
 } from "./fleet_hosts.ts";
 import { FleetTime } from "./fleet_time.ts";
 import { PendingQueries } from "./pending_queries.ts";
@@ -37,7 +37,7 @@
   FleetView,
   LimitQuery,
   PeerMessage,
-  PeerNews,
+  PeerUpdate,
   PermitQuery,
 } from "./peer_news.ts";
 import { openPeerTransport, type PeerTransport } from "./peer_transport.ts";
@@ -88,8 +88,8 @@
 }
 
 /** The part of this host's update that its owner provides; membership adds the rest. */
-export type OwnNews = Omit<
-  PeerNews,
+export type OwnUpdate = Omit<
+  PeerUpdate,
   | "host"
   | "dataHall"
   | "cores"
@@ -103,16 +103,16 @@
 /** Callbacks of membership to its owner. */
 export interface MembershipListener {
   /** Returns this host's update for the message with this sequence number. */
-  ownNews(message: {
+  ownUpdate(message: {
     readonly sequence: number;
     readonly role: HostRole;
-  }): OwnNews;
+  }): OwnUpdate;
   /** Whether this host is stopping. */
   stopping(): boolean;
   /** Returns the state of all other hosts, for a digest to this host. */
   viewFor(host: string): FleetView;
   /** Handles an update of a host, which is `age` milliseconds old. */
-  onNews(update: PeerNews, age: number): void;
+  onUpdate(update: PeerUpdate, age: number): void;
   /** Handles a relay's digest of the fleet. */
   onDigest(digest: FleetDigest): void;
   /** Handles a read of the store's list; `hosts` are those that are new in it. */
@@ -122,11 +122,11 @@
   /** Handles the newest configuration, which a relay forwarded. */
   onConfiguration(changes: ChangeBatch): void;
   /** Decides, as a relay, whether a request fits into a limit. */
-  onQuestion(request: LimitRequest): LimitDecision;
+  onLimitQuery(request: LimitRequest): LimitDecision;
   /** Handles the query of a host for a permit at a limited server. */
-  onTurnQuestion(request: TurnRequest): TurnReply;
+  onPermitQuery(request: PermitRequest): PermitReply;
   /** Handles an admission by a relay that arrived too late to be used. */
-  onUnused(request: LimitRequest): void;
+  onUnusedAdmission(request: LimitRequest): void;
 }
 
 /** This host as a member of the fleet. */
@@ -137,7 +137,7 @@
   readonly #transport: PeerTransport;
   readonly #ownership = new Ownership();
   readonly #limitQueries: LimitQueries;
-  readonly #permitQueries: PendingQueries<TurnRequest, TurnReply>;
+  readonly #permitQueries: PendingQueries<PermitRequest, PermitReply>;
   readonly #registry: HostRegistry;
   readonly #time: FleetTime;
   /** Newest update of each host that was forwarded, as `incarnation/sequence`. */
@@ -161,7 +161,7 @@
     this.#hosts = new FleetHosts({ name: host, dataHall, cores });
     this.#time = new FleetTime(parts.wallTime, clock.now());
     this.#limitQueries = new LimitQueries(clock, (request) =>
-      listener.onUnused(request),
+      listener.onUnusedAdmission(request),
     );
     this.#permitQueries = new PendingQueries(clock, {
       answerTimeoutMilliseconds: PERMIT_ANSWER_TIMEOUT_MILLISECONDS,
@@ -182,16 +182,16 @@
         (listed) => {
           const unknown = this.#hosts.addListed(listed, clock.now());
           listener.onListed(unknown);
-          if (this.#round === 0 && unknown.length > 0) this.tell();
+          if (this.#round === 0 && unknown.length > 0) this.broadcast();
         },
       ),
     );
     this.#ownership.own(
       repeat(
         clock,
-        () => jitter(random, PACE_BY_ROLE[this.#role].interval),
+        () => jitter(random, GOSSIP_TIMING_BY_ROLE[this.#role].interval),
         () => {
-          this.tell();
+          this.broadcast();
           return Promise.resolve();
         },
       ),
@@ -237,7 +237,7 @@
    * hosts must have been read: before that, each host of a large fleet acts as in a
    * small one, and 42 of 77 that started together tried to take the lease.
    */
-  get mayHoldDuties(): boolean {
+  get canHoldDuties(): boolean {
     return this.#registry.settled && this.#role !== "member";
   }
 
@@ -258,7 +258,7 @@
    * Queries the first relay of this data hall whether a request fits into a limit.
    * Resolves to `undefined` if there is no relay or it does not answer in time.
    */
-  async ask(request: LimitRequest): Promise<LimitDecision | undefined> {
+  async queryLimit(request: LimitRequest): Promise<LimitDecision | undefined> {
     const relay = this.#hosts.decider(this.#parts.clock.now());
     if (relay === undefined) return undefined;
     return this.#limitQueries.query(request, (id) => {
@@ -269,7 +269,7 @@
   }
 
   /** Names of the hosts that may grant permits for limited servers. */
-  get turnHolders(): readonly string[] {
+  get permitHolders(): readonly string[] {
     return this.#permitHolders(this.#parts.clock.now());
   }
 
@@ -277,10 +277,10 @@
    * Queries a host for a permit at a limited server. Resolves to `undefined` if the
    * host is unknown or does not answer in time.
    */
-  async askTurn(
+  async queryPermit(
     holder: string,
-    request: TurnRequest,
-  ): Promise<TurnReply | undefined> {
+    request: PermitRequest,
+  ): Promise<PermitReply | undefined> {
     const known = this.#hosts.get(holder);
     if (known === undefined) return undefined;
     return this.#permitQueries.query(request, (id) => {
@@ -291,19 +291,19 @@
   }
 
   /** Rank of this host among all present hosts, in an order derived from a key. */
-  turn(key: string): TrialTurn {
+  rankFor(key: string): TrialRank {
     const names = this.#hosts.present(this.#parts.clock.now());
     const order = rendezvousOrder(key, names);
     return {
       rank: order.indexOf(this.#parts.host),
       // Longer than the usual lag, so that two messages may be lost: if two hosts try
       // the same request, two servers may end.
-      lagMilliseconds: PACE_BY_ROLE[this.#role].silence,
+      lagMilliseconds: GOSSIP_TIMING_BY_ROLE[this.#role].silence,
     };
   }
 
   /** The other present hosts, each as `name/incarnation`. */
-  get lives(): readonly string[] {
+  get incarnations(): readonly string[] {
     return this.#hosts
       .present(this.#parts.clock.now())
       .filter((name) => name !== this.#parts.host)
@@ -311,7 +311,7 @@
   }
 
   /** Requests the newest configuration from a relay. */
-  askConfiguration(relay: string): void {
+  requestConfiguration(relay: string): void {
     const known = this.#hosts.get(relay);
     if (known === undefined) return;
     const query = { address: this.#transport.address };
@@ -326,7 +326,7 @@
    * Fleet time, in milliseconds. A step of one clock does not change it, nor does a
    * step of most clocks for a few seconds.
    */
-  agreedWallTime(): number {
+  fleetWallTime(): number {
     return this.#time.at(this.#parts.clock.now());
   }
 
@@ -337,7 +337,7 @@
   }
 
   /** Runs a round of gossip: sends updates and digests as the role requires. */
-  tell(): void {
+  broadcast(): void {
     const now = this.#parts.clock.now();
     if (this.#isPaused()) this.#resumedAt = this.#parts.cautiousClock.now();
     this.#lastRound = this.#parts.cautiousClock.now();
@@ -423,11 +423,11 @@
     this.#role = role;
   }
 
-  #ownUpdate(): PeerNews {
+  #ownUpdate(): PeerUpdate {
     const { host, dataHall, cores, incarnation, wallTime, clock } = this.#parts;
     const sequence = this.#round;
     return {
-      ...this.#listener.ownNews({ sequence, role: this.#role }),
+      ...this.#listener.ownUpdate({ sequence, role: this.#role }),
       host,
       dataHall,
       cores,
@@ -513,7 +513,7 @@
         });
       }
       const configurationAge = this.#currentAge(update.configurationAge, age);
-      this.#listener.onNews({ ...update, configurationAge }, age);
+      this.#listener.onUpdate({ ...update, configurationAge }, age);
     });
     this.#hosts.recordSender(message.from, message.wantsDigest, now);
   }
@@ -536,7 +536,7 @@
    */
   #answerLimitQuery({ id, address, ...request }: LimitQuery): void {
     if (this.#role !== "relay") return;
-    const decision = this.#listener.onQuestion(request);
+    const decision = this.#listener.onLimitQuery(request);
     const datagram = encodeMessage({
       kind: "limit_answer",
       answer: { id, decision },
@@ -545,7 +545,7 @@
   }
 
   #answerPermitQuery({ id, address, ...request }: PermitQuery): void {
-    const reply = this.#listener.onTurnQuestion(request);
+    const reply = this.#listener.onPermitQuery(request);
     const answer = { id, reply };
     this.#transport.send(
       address,
@@ -578,13 +578,14 @@
   /** Whether this process has missed rounds, for instance while it was suspended. */
   #isPaused(): boolean {
     const now = this.#parts.cautiousClock.now();
-    const maximum = PACE_BY_ROLE[this.#role].interval * PAUSE_INTERVALS;
+    const maximum =
+      GOSSIP_TIMING_BY_ROLE[this.#role].interval * PAUSE_INTERVALS;
     return this.#lastRound > 0 && now - this.#lastRound > maximum;
   }
 }
 
 /** Removes the levels of limits; relays track these themselves. */
-function withoutLevels(update: PeerNews): PeerNews {
+function withoutLevels(update: PeerUpdate): PeerUpdate {
   return { ...update, levels: {} };
 }
 
--- a/packages/rampswitch-serving/src/membership/membership_test.ts
+++ b/packages/rampswitch-serving/src/membership/membership_test.ts
@@ -18,11 +18,11 @@
   ONE_ERA,
 } from "rampswitch-store";
 import { ServingMetrics } from "../observation/mod.ts";
-import { Membership, type OwnNews } from "./membership.ts";
+import { Membership, type OwnUpdate } from "./membership.ts";
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
-import type { FleetDigest, PeerMessage, PeerNews } from "./peer_news.ts";
+import type { FleetDigest, PeerMessage, PeerUpdate } from "./peer_news.ts";
 
-const OWN_UPDATE: OwnNews = {
+const OWN_UPDATE: OwnUpdate = {
   leaving: [{ id: "s9", born: 7, age: 20 }],
   limits: [
     { id: "s1", born: 1_796_169_600_123, perSecond: 1.2, age: 40 },
@@ -35,7 +35,9 @@
   followed: { configuration: 7, servers: 9 },
   admitted: { large: 5 },
   levels: { large: 90 },
-  work: { s1: { running: 2, unreadTokens: 700, born: 1_796_169_600_123 } },
+  work: {
+    s1: { running: 2, pendingPrefillTokens: 700, born: 1_796_169_600_123 },
+  },
   counts: { "17": { large: 3 } },
   dispatches: [
     {
@@ -49,15 +51,15 @@
   quarantine: [
     {
       fingerprint: "0123456789abcdef01234567",
-      lostLives: { "s1/1796169600123": 350, s2: 20 },
-      tried: 30,
+      lostIncarnations: { "s1/1796169600123": 350, s2: 20 },
+      lastTrialAge: 30,
       trials: 1,
-      ranWhole: undefined,
+      completedAge: undefined,
     },
   ],
   rollouts: [
     {
-      order: {
+      spec: {
         service: "models",
         toVersion: "v2",
         durationMilliseconds: 12_000,
@@ -66,8 +68,8 @@
       storeVersion: 9,
       remainingMilliseconds: 7_000,
       phase: "canary",
-      own: {
-        hasMoved: false,
+      senderProgress: {
+        hasLeftBaseline: false,
         counts: { "t|f|s1|reviews": 1 },
         waiting: { "t|9|s1|reviews": 2 },
       },
@@ -120,7 +122,7 @@
   followed: { configuration: 7, servers: 9 },
   levels: { large: 70 },
   silentShare: 0,
-  work: { s1: { running: 9, unreadTokens: 50, born: undefined } },
+  work: { s1: { running: 9, pendingPrefillTokens: 50, born: undefined } },
   leases: [{ fence: 3, version: 77 }],
   servers: {
     after: 4,
@@ -141,7 +143,7 @@
   readonly clock: ManualClock;
   /** `clock` if left out. */
   readonly cautiousClock?: Clock;
-  readonly received: PeerNews[];
+  readonly received: PeerUpdate[];
   readonly digests?: FleetDigest[];
   readonly configurations?: ChangeBatch[];
   readonly wallTime: number | (() => number);
@@ -174,18 +176,18 @@
         metrics: new ServingMetrics(),
       },
       {
-        ownNews: () => OWN_UPDATE,
+        ownUpdate: () => OWN_UPDATE,
         stopping: () => false,
         viewFor: () => VIEW,
-        onNews: (update) => shared.received.push(update),
+        onUpdate: (update) => shared.received.push(update),
         onDigest: (digest) => shared.digests?.push(digest),
         onListed: () => undefined,
-        onQuestion: ({ tokens }) =>
+        onLimitQuery: ({ tokens }) =>
           tokens < FITTING_TOKENS
             ? { kind: "admitted" }
             : { kind: "over_limit", retryAfterMilliseconds: 250 },
-        onUnused: () => undefined,
-        onTurnQuestion: ({ servers }) => ({
+        onUnusedAdmission: () => undefined,
+        onPermitQuery: ({ servers }) => ({
           kind: "given",
           server: servers[0] ?? "",
         }),
@@ -206,18 +208,18 @@
   test("receive updates from each other within two seconds", async () => {
     const clock = new ManualClock(1_000);
     const store = sharedStore();
-    const received: PeerNews[] = [];
+    const received: PeerUpdate[] = [];
     const hosts = await Promise.all(
       ["a", "b", "c"].map((name, index) =>
         openHost(name, { store, clock, received, wallTime: index * 2_400 }),
       ),
     );
-    expect(hosts.map((host) => host.mayHoldDuties)).toEqual(
+    expect(hosts.map((host) => host.canHoldDuties)).toEqual(
       hosts.map(() => false),
     );
     for (let at = 0; at < 2_000; at += 50) await step(clock, 50);
     expect(hosts.map((host) => host.size)).toEqual([3, 3, 3]);
-    expect(hosts.every((host) => host.mayHoldDuties)).toBe(true);
+    expect(hosts.every((host) => host.canHoldDuties)).toBe(true);
     expect(received[0]).toMatchObject(OWN_UPDATE);
   });
 
@@ -231,9 +233,9 @@
     ];
     const wrong = await openHost("c", { ...shared, wallTime: 502_400 });
     for (let at = 0; at < 2_000; at += 50) await step(clock, 50);
-    const agreed = wrong.agreedWallTime();
+    const agreed = wrong.fleetWallTime();
     right.forEach((host) => {
-      expect(Math.abs(host.agreedWallTime() - agreed)).toBeLessThan(600);
+      expect(Math.abs(host.fleetWallTime() - agreed)).toBeLessThan(600);
     });
   });
 });
@@ -281,7 +283,7 @@
 
   function errorsOf(hosts: readonly Membership[], clock: ManualClock) {
     return hosts
-      .map((host) => Math.abs(host.agreedWallTime() - clock.now()))
+      .map((host) => Math.abs(host.fleetWallTime() - clock.now()))
       .filter((error) => error > MAXIMUM_ERROR_MILLISECONDS);
   }
 
@@ -319,7 +321,7 @@
     clocks.ahead = CLOCK_STEP_MILLISECONDS;
     for (let at = 0; at < 150_000; at += 500) await step(clock, 500);
     hosts.forEach((host) => {
-      const error = host.agreedWallTime() - clock.now() - clocks.ahead;
+      const error = host.fleetWallTime() - clock.now() - clocks.ahead;
       expect(Math.abs(error)).toBeLessThan(MAXIMUM_ERROR_MILLISECONDS);
     });
   });
@@ -329,7 +331,7 @@
   test("ignores ages that were reported before it resumed", async () => {
     const clock = new ManualClock(1_000);
     const shared = { store: sharedStore(), clock, wallTime: 500_000 };
-    const received: PeerNews[] = [];
+    const received: PeerUpdate[] = [];
     const suspension = { milliseconds: 0 };
     const wallTime = () => clock.now() + suspension.milliseconds;
     await openHost("a", { ...shared, received: [] });
@@ -383,7 +385,7 @@
     readonly name: string;
     readonly dataHall: string;
     readonly membership: Membership;
-    readonly received: PeerNews[];
+    readonly received: PeerUpdate[];
     readonly digests: FleetDigest[];
     readonly configurations: ChangeBatch[];
   }[];
@@ -394,7 +396,7 @@
     Array.from({ length: 24 }, async (_, index) => {
       const name = `host-${index}`;
       const dataHall = index % 2 === 0 ? "a" : "b";
-      const received: PeerNews[] = [];
+      const received: PeerUpdate[] = [];
       const digests: FleetDigest[] = [];
       const configurations: ChangeBatch[] = [];
       const membership = await openHost(name, {
@@ -421,7 +423,7 @@
     );
     const halls = relays.map(({ dataHall }) => dataHall).toSorted();
     expect(halls).toEqual(["a", "a", "b", "b"]);
-    const mayHold = hosts.filter(({ membership }) => membership.mayHoldDuties);
+    const mayHold = hosts.filter(({ membership }) => membership.canHoldDuties);
     expect(mayHold).toEqual(relays);
     hosts.forEach((host) => {
       host.received.length = 0;
@@ -448,7 +450,7 @@
     const answers = await Promise.all(
       members.flatMap(({ membership }) =>
         [FITTING_TOKENS - 1, FITTING_TOKENS].map((tokens) =>
-          membership.ask({ workspace: "w", tokens, priority: 0 }),
+          membership.queryLimit({ workspace: "w", tokens, priority: 0 }),
         ),
       ),
     );
@@ -478,7 +480,7 @@
     const members = started.filter(({ role }) => role === "member");
     expect(members.length).toBe(20);
     const answers = members.map((member) =>
-      member.ask({ workspace: "w", tokens: 1, priority: 0 }),
+      member.queryLimit({ workspace: "w", tokens: 1, priority: 0 }),
     );
     for (let at = 0; at < 100; at += 10) await step(shared.clock, 10);
     expect(await Promise.all(answers)).toEqual(
@@ -492,7 +494,7 @@
       ({ membership }) => membership.role === "member",
     );
     members.forEach(({ membership, digests }) =>
-      membership.askConfiguration(digests.at(-1)?.relay ?? ""),
+      membership.requestConfiguration(digests.at(-1)?.relay ?? ""),
     );
     for (let at = 0; at < 400; at += 100) await step(clock, 100);
     members.forEach(({ configurations }) =>
@@ -522,7 +524,7 @@
 });
 
 describe("the encoding of messages", () => {
-  const update: PeerNews = {
+  const update: PeerUpdate = {
     ...OWN_UPDATE,
     host: "a",
     dataHall: "hall",
--- a/packages/rampswitch-serving/src/membership/peer_codec.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec.ts
@@ -11,7 +11,10 @@
 import type { ChangeBatch } from "rampswitch-store";
 import { parseJson } from "rampswitch-utils";
 import * as z from "zod";
-import { FINGERPRINT_PATTERN, type QuarantineNews } from "../quarantine/mod.ts";
+import {
+  FINGERPRINT_PATTERN,
+  type QuarantineUpdate,
+} from "../quarantine/mod.ts";
 import { encodedLeaving, LEAVING_SCHEMA, leavingOf } from "./leaving_codec.ts";
 import {
   encodedRollouts,
@@ -29,11 +32,11 @@
   permitReplyOf,
 } from "./permit_codec.ts";
 import type {
-  DispatchNews,
+  DispatchUpdate,
   FleetDigest,
   LimitAnswer,
   PeerMessage,
-  PeerNews,
+  PeerUpdate,
   WorkByServer,
 } from "./peer_news.ts";
 
@@ -90,7 +93,7 @@
 /** Weight of the time of a host that reports no number of samples. */
 const MINIMUM_SAMPLES = 1;
 
-/** Short keys of an update, in the order of {@link PeerNews}. */
+/** Short keys of an update, in the order of {@link PeerUpdate}. */
 const UPDATE_SCHEMA = z.object({
   h: z.string(),
   z: z.string(),
@@ -264,7 +267,7 @@
   }
 }
 
-function encodedUpdate(update: PeerNews): EncodedUpdate {
+function encodedUpdate(update: PeerUpdate): EncodedUpdate {
   return {
     h: update.host,
     z: update.dataHall,
@@ -416,7 +419,7 @@
   };
 }
 
-function updateOf(update: z.output<typeof UPDATE_SCHEMA>): PeerNews {
+function updateOf(update: z.output<typeof UPDATE_SCHEMA>): PeerUpdate {
   return {
     host: update.h,
     dataHall: update.z,
@@ -464,19 +467,19 @@
 ][];
 
 function encodedQuarantine(
-  requests: readonly QuarantineNews[],
+  requests: readonly QuarantineUpdate[],
 ): EncodedQuarantine {
   return requests.map((request) => [
     request.fingerprint,
     Object.fromEntries(
-      Object.entries(request.lostLives).map(([incarnation, age]) => [
+      Object.entries(request.lostIncarnations).map(([incarnation, age]) => [
         incarnation,
         Math.round(age),
       ]),
     ),
-    roundedAge(request.tried),
+    roundedAge(request.lastTrialAge),
     request.trials,
-    roundedAge(request.ranWhole),
+    roundedAge(request.completedAge),
   ]);
 }
 
@@ -486,14 +489,14 @@
 
 function quarantineOf(
   encoded: EncodedQuarantine | undefined,
-): readonly QuarantineNews[] {
+): readonly QuarantineUpdate[] {
   return (encoded ?? []).map(
-    ([fingerprint, lostLives, tried, trials, ranWhole]) => ({
+    ([fingerprint, losses, trialAge, trials, completionAge]) => ({
       fingerprint,
-      lostLives,
-      tried: tried ?? undefined,
+      lostIncarnations: losses,
+      lastTrialAge: trialAge ?? undefined,
       trials,
-      ranWhole: ranWhole ?? undefined,
+      completedAge: completionAge ?? undefined,
     }),
   );
 }
@@ -527,23 +530,25 @@
 function followedOf([configuration, servers]: readonly [
   number,
   number,
-]): PeerNews["followed"] {
+]): PeerUpdate["followed"] {
   return { configuration, servers };
 }
 
 function encodedWork(byServer: WorkByServer): Record<string, [number, number]> {
   return Object.fromEntries(
-    Object.entries(byServer).map(([server, { running, unreadTokens }]) => [
-      server,
-      [running, unreadTokens],
-    ]),
+    Object.entries(byServer).map(
+      ([server, { running, pendingPrefillTokens }]) => [
+        server,
+        [running, pendingPrefillTokens],
+      ],
+    ),
   );
 }
 
 /** Encodes one incarnation of each server: the newest that the host knows. */
 function encodedIncarnations(
   work: WorkByServer,
-  dispatches: readonly DispatchNews[],
+  dispatches: readonly DispatchUpdate[],
 ): { y?: Record<string, number> } {
   const reported = [
     ...Object.entries(work).map(([server, { born }]) => ({ server, born })),
@@ -559,9 +564,11 @@
   born: Readonly<Record<string, number>> | undefined,
 ): WorkByServer {
   return Object.fromEntries(
-    Object.entries(byServer).map(([server, [running, unreadTokens]]) => [
-      server,
-      { running, unreadTokens, born: born?.[server] },
-    ]),
+    Object.entries(byServer).map(
+      ([server, [running, pendingPrefillTokens]]) => [
+        server,
+        { running, pendingPrefillTokens, born: born?.[server] },
+      ],
+    ),
   );
 }
--- a/packages/rampswitch-serving/src/membership/peer_codec_test.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
-import type { PeerMessage, PeerNews } from "./peer_news.ts";
+import type { PeerMessage, PeerUpdate } from "./peer_news.ts";
 
 // Hosts report work at servers by id. A server may restart under the same id, and
 // hosts learn of that at different times, so an update names the incarnation it
@@ -11,7 +11,7 @@
 
 const BORN = 1_796_169_600_123;
 
-const UPDATE: PeerNews = {
+const UPDATE: PeerUpdate = {
   host: "h1",
   dataHall: "a",
   cores: 1,
@@ -27,8 +27,8 @@
   admitted: {},
   levels: {},
   work: {
-    dated: { running: 2, unreadTokens: 70, born: BORN },
-    undated: { running: 1, unreadTokens: 5, born: undefined },
+    dated: { running: 2, pendingPrefillTokens: 70, born: BORN },
+    undated: { running: 1, pendingPrefillTokens: 5, born: undefined },
   },
   counts: {},
   dispatches: [
@@ -94,20 +94,20 @@
     );
     expect(updates.unwrapOr([])[0]?.update.work["dated"]).toEqual({
       running: 2,
-      unreadTokens: 70,
+      pendingPrefillTokens: 70,
       born: undefined,
     });
   });
 });
 
 describe("requests during which servers ended", () => {
-  const quarantine: PeerNews["quarantine"] = [
+  const quarantine: PeerUpdate["quarantine"] = [
     {
       fingerprint: "0123456789abcdef01234567",
-      lostLives: { "s1/1796169600123": 350 },
-      tried: undefined,
+      lostIncarnations: { "s1/1796169600123": 350 },
+      lastTrialAge: undefined,
       trials: 0,
-      ranWhole: 20,
+      completedAge: 20,
     },
   ];
   const quarantineMessage: PeerMessage = {
--- a/packages/rampswitch-serving/src/membership/peer_news.ts
+++ b/packages/rampswitch-serving/src/membership/peer_news.ts
@@ -12,14 +12,14 @@
   BucketLevels,
   LimitDecision,
 } from "../admission/mod.ts";
-import type { LeavingNews, ToldWork } from "../choice/mod.ts";
-import type { QuarantineNews } from "../quarantine/mod.ts";
-import type { RolloutNews } from "../rollout/rollout.ts";
+import type { LeavingUpdate, ReportedWork } from "../choice/mod.ts";
+import type { QuarantineUpdate } from "../quarantine/mod.ts";
+import type { RolloutUpdate } from "../rollout/rollout.ts";
 import type {
-  LimitNews,
-  TurnNews,
-  TurnReply,
-  TurnRequest,
+  LimitUpdate,
+  PermitUpdate,
+  PermitReply,
+  PermitRequest,
 } from "../server_limits/mod.ts";
 import type { TimeEstimate } from "./fleet_time.ts";
 import type { FollowedVersions } from "../configuration/configuration_follower.ts";
@@ -30,17 +30,17 @@
 >;
 
 /** Reported work at backend servers, by server id. */
-export type WorkByServer = Readonly<Record<string, ToldWork>>;
+export type WorkByServer = Readonly<Record<string, ReportedWork>>;
 
 /** The duty lease as its holder last renewed it. */
-export interface LeaseNews {
+export interface LeaseUpdate {
   readonly fence: number;
   /** Store version of the lease object. */
   readonly version: number;
 }
 
 /** A prompt that was sent to a server, given by its shared parts. */
-export interface DispatchNews {
+export interface DispatchUpdate {
   readonly server: string;
   /** Start time of the server's incarnation; `undefined` if it was not reported. */
   readonly born: number | undefined;
@@ -48,7 +48,7 @@
 }
 
 /** Update of one host about itself. */
-export interface PeerNews extends TurnNews {
+export interface PeerUpdate extends PermitUpdate {
   readonly host: string;
   readonly dataHall: string;
   /** Processor share of the host, in cores. */
@@ -73,16 +73,16 @@
   readonly levels: BucketLevels;
   readonly work: WorkByServer;
   readonly counts: WindowCounts;
-  readonly dispatches: readonly DispatchNews[];
+  readonly dispatches: readonly DispatchUpdate[];
   /** Prompt tokens sent to each service since the host started. */
   readonly readTokens: Readonly<Record<string, number>>;
-  readonly lease: LeaseNews | undefined;
+  readonly lease: LeaseUpdate | undefined;
   /** Requests during which servers ended, as known to the host. */
-  readonly quarantine: readonly QuarantineNews[];
+  readonly quarantine: readonly QuarantineUpdate[];
   /** Roll-outs in progress, and the host's part in them. */
-  readonly rollouts: readonly RolloutNews[];
+  readonly rollouts: readonly RolloutUpdate[];
   /** Backend servers that advertised in their answers that they leave. */
-  readonly leaving: readonly LeavingNews[];
+  readonly leaving: readonly LeavingUpdate[];
 }
 
 /** State of all hosts but one, which a relay sends to that one. */
@@ -96,17 +96,17 @@
   readonly silentShare: number;
   /** Total work of all other hosts. */
   readonly work: WorkByServer;
-  readonly leases: readonly LeaseNews[];
+  readonly leases: readonly LeaseUpdate[];
   /** The newest changes of backend servers' entries in the store. */
   readonly servers: ChangeBatch | undefined;
   /** Requests during which servers ended, as known to any host. */
-  readonly quarantine: readonly QuarantineNews[];
+  readonly quarantine: readonly QuarantineUpdate[];
   /** Roll-outs in progress. */
-  readonly rollouts: readonly RolloutNews[];
+  readonly rollouts: readonly RolloutUpdate[];
   /** Limits that backend servers advertise. */
-  readonly limits: readonly LimitNews[];
+  readonly limits: readonly LimitUpdate[];
   /** Backend servers that advertised in their answers that they leave. */
-  readonly leaving: readonly LeavingNews[];
+  readonly leaving: readonly LeavingUpdate[];
 }
 
 /** Digest of the fleet, which a relay sends to one host of its data hall. */
@@ -128,7 +128,7 @@
 
 /** Update of one host, and its age at the sender, in milliseconds. */
 export interface AgedUpdate {
-  readonly update: PeerNews;
+  readonly update: PeerUpdate;
   readonly age: number;
 }
 
@@ -151,7 +151,7 @@
 }
 
 /** Query of a host for a permit at a limited server. */
-export interface PermitQuery extends TurnRequest {
+export interface PermitQuery extends PermitRequest {
   readonly id: number;
   /** Address at which the host receives the answer. */
   readonly address: string;
@@ -160,7 +160,7 @@
 /** Answer to a permit query. */
 export interface PermitAnswer {
   readonly id: number;
-  readonly reply: TurnReply;
+  readonly reply: PermitReply;
 }
 
 /** Query of a host to a relay for the newest configuration. */
--- a/packages/rampswitch-serving/src/membership/permit_codec.ts
+++ b/packages/rampswitch-serving/src/membership/permit_codec.ts
@@ -7,7 +7,11 @@
  * @module
  */
 import * as z from "zod";
-import type { LimitNews, LentTo, TurnReply } from "../server_limits/mod.ts";
+import type {
+  LimitUpdate,
+  HoldersByService,
+  PermitReply,
+} from "../server_limits/mod.ts";
 
 /** Maximum length of a name, in characters. */
 const MAXIMUM_NAME_CHARACTERS = 256;
@@ -54,7 +58,7 @@
 
 /** Encodes limits; `undefined` when there are none. */
 export function encodedLimits(
-  limits: readonly LimitNews[],
+  limits: readonly LimitUpdate[],
 ): z.input<typeof LIMITS_SCHEMA> {
   if (limits.length === 0) return undefined;
   return limits.map(({ id, born, perSecond, age }) => [
@@ -68,7 +72,7 @@
 /** Decodes limits. */
 export function limitsOf(
   encoded: z.output<typeof LIMITS_SCHEMA>,
-): readonly LimitNews[] {
+): readonly LimitUpdate[] {
   return (encoded ?? []).map(([id, born, perSecond, age]) => ({
     id,
     born: born ?? undefined,
@@ -78,12 +82,14 @@
 }
 
 /** Encodes loans of time slots; `undefined` when there are none. */
-export function encodedLoans(lentTo: LentTo): z.input<typeof LENT_SCHEMA> {
+export function encodedLoans(
+  lentTo: HoldersByService,
+): z.input<typeof LENT_SCHEMA> {
   return Object.keys(lentTo).length === 0 ? undefined : lentTo;
 }
 
 /** Decodes the answer to a query for a permit. */
-export function permitReplyOf(encoded: string | number): TurnReply {
+export function permitReplyOf(encoded: string | number): PermitReply {
   return typeof encoded === "string"
     ? { kind: "given", server: encoded }
     : { kind: "wait", milliseconds: encoded };
--- a/packages/rampswitch-serving/src/membership/prompt_broadcast.ts
+++ b/packages/rampswitch-serving/src/membership/prompt_broadcast.ts
@@ -14,7 +14,7 @@
 const MINIMUM_INTERVAL_MILLISECONDS = 50;
 
 /** Broadcasts changes at once, at a limited rate. */
-export class PromptNews {
+export class PromptBroadcast {
   readonly #clock: Clock;
   readonly #broadcast: () => void;
   #broadcastAt = -Infinity;
@@ -25,7 +25,7 @@
   }
 
   /** Broadcasts a change; within the minimum interval it waits for the next round. */
-  came(): void {
+  trigger(): void {
     const now = this.#clock.now();
     if (now - this.#broadcastAt < MINIMUM_INTERVAL_MILLISECONDS) return;
     this.#broadcastAt = now;
--- a/packages/rampswitch-serving/src/membership/relay_plan.ts
+++ b/packages/rampswitch-serving/src/membership/relay_plan.ts
@@ -24,14 +24,14 @@
  * a second of 1.3 KB each, 15 peers cost a host 80 KB/s in each direction; with
  * relays it is a tenth of that.
  */
-export const MOST_DIRECT_HOSTS = 16;
+export const MAXIMUM_DIRECT_HOSTS = 16;
 
 /** Relays of a data hall; two, so that one remains if the other is lost. */
 export const RELAYS_PER_DATA_HALL = 2;
 
 /** Whether a fleet of this many hosts needs relays. */
 export function needsRelays(hosts: number): boolean {
-  return hosts > MOST_DIRECT_HOSTS;
+  return hosts > MAXIMUM_DIRECT_HOSTS;
 }
 
 /** Hosts of a data hall, best relay first: by processor share, then by hash. */
@@ -69,7 +69,7 @@
  * Timing in a small fleet: four messages a second. The lag allows for one lost
  * message, the silence for two.
  */
-export const DIRECT_PACE: GossipTiming = {
+export const DIRECT_GOSSIP_TIMING: GossipTiming = {
   interval: 250,
   lag: 350,
   silence: 700,
@@ -79,7 +79,7 @@
  * Timing with relays, where an update takes three hops. It is slower, so that a
  * host stays within about 9 KB a second.
  */
-export const RELAYED_PACE: GossipTiming = {
+export const RELAYED_GOSSIP_TIMING: GossipTiming = {
   interval: 400,
   lag: 1_200,
   silence: 2_000,
--- a/packages/rampswitch-serving/src/membership/rollout_codec.ts
+++ b/packages/rampswitch-serving/src/membership/rollout_codec.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import * as z from "zod";
-import type { RolloutNews } from "../rollout/rollout.ts";
+import type { RolloutUpdate } from "../rollout/rollout.ts";
 
 /** Maximum length of the name of a version or a service, in characters. */
 const MAXIMUM_NAME_CHARACTERS = 256;
@@ -37,9 +37,9 @@
 
 /** Encodes roll-out updates. */
 export function encodedRollouts(
-  updates: readonly RolloutNews[],
+  updates: readonly RolloutUpdate[],
 ): EncodedRollout[] {
-  return updates.map(({ order, own, ...one }) => [
+  return updates.map(({ spec: order, senderProgress: own, ...one }) => [
     order.service,
     order.toVersion,
     order.durationMilliseconds,
@@ -49,14 +49,14 @@
     one.phase,
     own === undefined
       ? null
-      : [own.hasMoved, { ...own.counts }, { ...own.waiting }],
+      : [own.hasLeftBaseline, { ...own.counts }, { ...own.waiting }],
   ]);
 }
 
 /** Decodes roll-out updates. */
 export function rolloutsOf(
   encoded: z.output<typeof ROLLOUTS_SCHEMA>,
-): readonly RolloutNews[] {
+): readonly RolloutUpdate[] {
   return (encoded ?? []).map(
     ([
       service,
@@ -66,17 +66,21 @@
       storeVersion,
       remainingMilliseconds,
       phase,
-      own,
+      senderProgress,
     ]) => ({
-      order: { service, toVersion, durationMilliseconds },
+      spec: { service, toVersion, durationMilliseconds },
       baseline,
       storeVersion,
       remainingMilliseconds,
       phase,
-      own:
-        own === null
+      senderProgress:
+        senderProgress === null
           ? undefined
-          : { hasMoved: own[0], counts: own[1], waiting: own[2] },
+          : {
+              hasLeftBaseline: senderProgress[0],
+              counts: senderProgress[1],
+              waiting: senderProgress[2],
+            },
     }),
   );
 }
--- a/packages/rampswitch-serving/src/mod.ts
+++ b/packages/rampswitch-serving/src/mod.ts
@@ -19,5 +19,8 @@
 export * from "./rollout/mod.ts";
 export * from "./server_limits/mod.ts";
 export * from "./serving_host.ts";
-export { type ReturnInputs, returnMilliseconds } from "./statements/mod.ts";
+export {
+  type ReturnInputs,
+  returnSpreadMilliseconds as returnMilliseconds,
+} from "./statements/mod.ts";
 export type * from "./serving_settings.ts";
--- a/packages/rampswitch-serving/src/model/backend_server.ts
+++ b/packages/rampswitch-serving/src/model/backend_server.ts
@@ -7,14 +7,14 @@
  */
 
 /** One incarnation of a server: its id and, if known, when it started. */
-export interface ServerLife {
+export interface ServerIncarnation {
   readonly id: string;
   /** Start of the incarnation, in milliseconds since 1970. */
   readonly born?: number | undefined;
 }
 
 /** Returns an id that is unique among all incarnations of all servers. */
-export function nameOfLife({ id, born }: ServerLife): string {
+export function incarnationId({ id, born }: ServerIncarnation): string {
   return born === undefined ? id : `${id}/${born}`;
 }
 
--- a/packages/rampswitch-serving/src/model/configuration.ts
+++ b/packages/rampswitch-serving/src/model/configuration.ts
@@ -44,7 +44,7 @@
   /** Tokens of prompts and answers that one engine's KV-cache memory holds. */
   readonly memoryTokens: number;
   /** Whether a run's memory may be migrated to another engine. */
-  readonly movable: boolean;
+  readonly migratable: boolean;
   /**
    * Tokens of memory that the link between two engines transfers in a millisecond;
    * `undefined` where engines do not copy cached parts from each other.
--- a/packages/rampswitch-serving/src/model/engine_control.ts
+++ b/packages/rampswitch-serving/src/model/engine_control.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { Result } from "true-myth";
-import type { ServerStatements } from "./request.ts";
+import type { ServerAdvertisements } from "./request.ts";
 
 /** A run whose KV-cache memory is to be copied to another engine. */
 export interface MemoryCopy {
@@ -20,7 +20,7 @@
 }
 
 /** Memory that an engine retains, and that another may have copied. */
-export interface KeptMemory {
+export interface RetainedMemory {
   /** Identifies the memory at the engine that it was copied from. */
   readonly handle: string;
   /** Whether the other engine has a copy; if not, only the first retains it. */
@@ -34,10 +34,10 @@
 /** State that an engine reports of itself. */
 export interface EngineReport {
   /** Milliseconds until it ends, if it knows. */
-  readonly leavesMilliseconds: number | undefined;
+  readonly endsInMilliseconds: number | undefined;
   /** Start of its incarnation, in milliseconds since 1970, if it reports one. */
   readonly born: number | undefined;
-  readonly says: ServerStatements;
+  readonly advertised: ServerAdvertisements;
 }
 
 /** Calls to model engines. */
@@ -48,7 +48,9 @@
    * Copies a run's memory. A run that is to stop may stop although the other
    * engine has no capacity: its memory is then retained where it ran.
    */
-  copyMemory(copy: MemoryCopy): Promise<Result<KeptMemory, MemoryCopyError>>;
+  copyMemory(
+    copy: MemoryCopy,
+  ): Promise<Result<RetainedMemory, MemoryCopyError>>;
   /** Frees a copy that is no longer needed; returns whether it was freed. */
   dropCopy(from: string, handle: string): Promise<boolean>;
 }
--- a/packages/rampswitch-serving/src/model/request.ts
+++ b/packages/rampswitch-serving/src/model/request.ts
@@ -55,7 +55,7 @@
   readonly lastEventId: string | undefined;
   readonly memorySource: MemorySource | undefined;
   /** Address of an engine from which cached parts of the prompt are copied. */
-  readonly copyPartsFrom: string | undefined;
+  readonly copyCachedPartsFrom: string | undefined;
 }
 
 /** Load that a backend server reports with an answer. */
@@ -66,20 +66,20 @@
 }
 
 /** One value that a server advertises in an answer. */
-export type Statement<Value> =
+export type Advertised<Value> =
   | { readonly kind: "nothing" }
   | { readonly kind: "said"; readonly value: Value }
   /** `text` is the beginning of the unreadable value. */
   | { readonly kind: "unreadable"; readonly text: string };
 
 /** State that a server advertises in an answer. */
-export interface ServerStatements {
+export interface ServerAdvertisements {
   /** Requests per second that it accepts from all hosts together. */
-  readonly limit: Statement<number>;
+  readonly limit: Advertised<number>;
   /** Whether its incarnation is about to end. */
-  readonly leaving: Statement<true>;
+  readonly leaving: Advertised<true>;
   /** Back-off in milliseconds that it asks of the host that it turned away. */
-  readonly rest: Statement<number>;
+  readonly rest: Advertised<number>;
 }
 
 /** Head of a backend server's answer. */
@@ -92,7 +92,7 @@
   /** Whether the server signed the answer as its own. */
   readonly signed: boolean;
   readonly load: ReportedLoad | undefined;
-  readonly says: ServerStatements;
+  readonly advertised: ServerAdvertisements;
   readonly encoded: boolean;
   /** Headers that are forwarded to the caller. */
   readonly forwarded: RawHeaders;
--- a/packages/rampswitch-serving/src/observation/bounded_output.ts
+++ b/packages/rampswitch-serving/src/observation/bounded_output.ts
@@ -139,7 +139,7 @@
     // One write: after a partial write of the rest, further lines would continue
     // in the middle of another line.
     const bytes = Buffer.concat([rest, Buffer.from(this.#takeLines())]);
-    if (bytes.length > 0) this.#sink.writeAtOnce(bytes);
+    if (bytes.length > 0) this.#sink.writeSync(bytes);
   }
 
   #hasPendingLines(): boolean {
--- a/packages/rampswitch-serving/src/observation/bounded_output_test.ts
+++ b/packages/rampswitch-serving/src/observation/bounded_output_test.ts
@@ -46,7 +46,7 @@
         );
       }
     },
-    writeAtOnce: (bytes) =>
+    writeSync: (bytes) =>
       typeof state.answer === "number"
         ? take(bytes, state.answer)
         : failure("EAGAIN"),
--- a/packages/rampswitch-serving/src/observation/line_log.ts
+++ b/packages/rampswitch-serving/src/observation/line_log.ts
@@ -80,12 +80,12 @@
   }
 
   /** Waits, up to some milliseconds, until all lines are written. */
-  emptied(milliseconds: number): Promise<void> {
+  drained(milliseconds: number): Promise<void> {
     return this.#output.drained(milliseconds);
   }
 
   /** Writes the remaining lines synchronously, for the end of the process. */
-  writeAtOnce(): void {
+  writeSync(): void {
     this.#output.writeSync();
   }
 
--- a/packages/rampswitch-serving/src/observation/line_log_test.ts
+++ b/packages/rampswitch-serving/src/observation/line_log_test.ts
@@ -26,7 +26,7 @@
   };
   const sink: LineSink = {
     write: (bytes, done) => done(take(bytes)),
-    writeAtOnce: take,
+    writeSync: take,
   };
   const log = new LineLog({
     sink,
@@ -151,7 +151,7 @@
     const path = "x".repeat(100_000);
     [1, 2, 3].forEach(() => log.info("request refused", { path }));
     reader.reads = true;
-    log.writeAtOnce();
+    log.writeSync();
     expect(lines().at(-1)).toMatchObject({ message: "log lines dropped" });
   });
 });
--- a/packages/rampswitch-serving/src/observation/line_sink.ts
+++ b/packages/rampswitch-serving/src/observation/line_sink.ts
@@ -18,7 +18,7 @@
   /** Writes without blocking; may call back before it returns. */
   write(bytes: Buffer, done: (written: WriteResult) => void): void;
   /** Writes synchronously, for the end of the process. */
-  writeAtOnce(bytes: Buffer): WriteResult;
+  writeSync(bytes: Buffer): WriteResult;
 }
 
 /** Kind of file that standard output is. */
@@ -68,7 +68,7 @@
 function nonBlockingSink(file: number): LineSink {
   return {
     write: (bytes, done) => done(writeSynchronously(file, bytes)),
-    writeAtOnce: (bytes) => writeSynchronously(file, bytes),
+    writeSync: (bytes) => writeSynchronously(file, bytes),
   };
 }
 
@@ -83,7 +83,7 @@
       write(STANDARD_OUTPUT, bytes, (error, count) =>
         done(error === null ? Result.ok(count) : Result.err(error)),
       ),
-    writeAtOnce: (bytes) => writeSynchronously(STANDARD_OUTPUT, bytes),
+    writeSync: (bytes) => writeSynchronously(STANDARD_OUTPUT, bytes),
   };
 }
 
--- a/packages/rampswitch-serving/src/observation/metrics.ts
+++ b/packages/rampswitch-serving/src/observation/metrics.ts
@@ -104,7 +104,7 @@
   }
 
   /** Sets a gauge by server; servers without a value are removed from it. */
-  byServer(name: string, values: ReadonlyMap<string, number>): void {
+  gaugeByServer(name: string, values: ReadonlyMap<string, number>): void {
     const gauge =
       this.#serverGauges.get(name) ??
       new Gauge({
@@ -119,12 +119,12 @@
   }
 
   /** Records the time to the first part of an answer. */
-  firstPart(milliseconds: number): void {
+  firstPartTime(milliseconds: number): void {
     this.#firstPart.observe(milliseconds / 1_000);
   }
 
   /** Records the time to the end of an answer. */
-  whole(milliseconds: number): void {
+  answerTime(milliseconds: number): void {
     this.#answer.observe(milliseconds / 1_000);
   }
 
--- a/packages/rampswitch-serving/src/quarantine/quarantine.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine.ts
@@ -36,16 +36,16 @@
 export type Age = number;
 
 /** What hosts report to each other about one request. */
-export interface QuarantineNews {
+export interface QuarantineUpdate {
   readonly fingerprint: string;
-  readonly lostLives: Readonly<Record<string, Age>>;
-  readonly tried: Age | undefined;
+  readonly lostIncarnations: Readonly<Record<string, Age>>;
+  readonly lastTrialAge: Age | undefined;
   readonly trials: number;
-  readonly ranWhole: Age | undefined;
+  readonly completedAge: Age | undefined;
 }
 
 /** This host's position among the hosts that may try a request. */
-export interface TrialTurn {
+export interface TrialRank {
   /** Number of hosts before this one. */
   readonly rank: number;
   /**
@@ -65,7 +65,7 @@
    * This host's position among the hosts that may try a request. All hosts agree on
    * the order.
    */
-  turn(fingerprint: string): TrialTurn;
+  trialRank(fingerprint: string): TrialRank;
   /** Called when a stored entry has changed on this host. */
   onStoredChange(): void;
 }
@@ -73,7 +73,7 @@
 /** An incarnation of a server that ended. */
 export interface LostIncarnation {
   /** Name of the incarnation, unique among all servers. */
-  readonly life: string;
+  readonly incarnation: string;
   /** When its end was announced, if it was. */
   readonly leavingSince: number | undefined;
 }
@@ -115,7 +115,7 @@
 }
 
 interface CachedTrialRank {
-  readonly trialRank: TrialTurn;
+  readonly trialRank: TrialRank;
   readonly at: number;
 }
 
@@ -161,7 +161,7 @@
   }
 
   /** Whether a request must not be resent within the same attempt. */
-  forbidsRepeat(request: Fingerprint): boolean {
+  forbidsResend(request: Fingerprint): boolean {
     return this.#quarantinedEntryOf(request) !== undefined;
   }
 
@@ -169,23 +169,33 @@
    * Records that the connection to a server broke after the server had begun the
    * request.
    */
-  lost(request: Fingerprint, { life, leavingSince }: LostIncarnation): void {
+  recordLoss(
+    request: Fingerprint,
+    { incarnation: incarnationName, leavingSince }: LostIncarnation,
+  ): void {
     // An announced end was not caused by the request.
     if (leavingSince !== undefined) return;
-    this.#countLoss(request.text, life, this.#parts.clock.now());
+    this.#countLoss(request.text, incarnationName, this.#parts.clock.now());
   }
 
   /**
    * Records that a server became unresponsive while it ran a request. The server
    * may have ended.
    */
-  silent(request: Fingerprint, { life, leavingSince }: LostIncarnation): void {
+  recordUnresponsive(
+    request: Fingerprint,
+    { incarnation: incarnationName, leavingSince }: LostIncarnation,
+  ): void {
     if (leavingSince !== undefined) return;
-    this.#unconfirmedLosses.add(life, request.text, this.#parts.clock.now());
+    this.#unconfirmedLosses.add(
+      incarnationName,
+      request.text,
+      this.#parts.clock.now(),
+    );
   }
 
   /** Records that an incarnation of a server ended without an announcement. */
-  lifeEnded(incarnation: string): void {
+  incarnationEnded(incarnation: string): void {
     this.#unconfirmedLosses
       .take(incarnation, this.#parts.clock.now())
       .forEach(({ fingerprint, at }) =>
@@ -194,7 +204,7 @@
   }
 
   /** Records that a request completed, which shows that it does not crash servers. */
-  ranWhole(request: Fingerprint): void {
+  recordCompletion(request: Fingerprint): void {
     const previous = this.#entryOf(request);
     if (previous === undefined) return;
     const completedAt = this.#parts.clock.now();
@@ -206,7 +216,7 @@
   }
 
   /** Returns what to report to the other hosts now. */
-  news(): readonly QuarantineNews[] {
+  updates(): readonly QuarantineUpdate[] {
     const now = this.#parts.clock.now();
     this.#removeExpired(now);
     return this.#mostImportant(
@@ -217,7 +227,7 @@
   }
 
   /** Receives what another host reported. */
-  heard(updates: readonly QuarantineNews[]): void {
+  receive(updates: readonly QuarantineUpdate[]): void {
     const now = this.#parts.clock.now();
     updates
       .slice(0, MAXIMUM_REPORTED_REQUESTS)
@@ -225,7 +235,7 @@
   }
 
   /** Returns the requests to store. */
-  stored(): readonly QuarantineNews[] {
+  stored(): readonly QuarantineUpdate[] {
     const now = this.#parts.clock.now();
     return this.#mostImportant(now, ({ entry }) => isStored(entry));
   }
@@ -237,7 +247,7 @@
   #mostImportant(
     now: number,
     isReported: (known: TrackedRequest) => boolean,
-  ): readonly QuarantineNews[] {
+  ): readonly QuarantineUpdate[] {
     return [...this.#requests]
       .filter(([, known]) => isReported(known))
       .toSorted(([, left], [, right]) => byImportance(left, right))
@@ -315,7 +325,7 @@
     else this.#headHashCounts.set(headHash, count);
   }
 
-  #trialRankOf(fingerprint: string, now: number): TrialTurn {
+  #trialRankOf(fingerprint: string, now: number): TrialRank {
     const cached = this.#trialRanks.get(fingerprint);
     if (
       cached !== undefined &&
@@ -323,7 +333,7 @@
     ) {
       return cached.trialRank;
     }
-    const trialRank = this.#parts.turn(fingerprint);
+    const trialRank = this.#parts.trialRank(fingerprint);
     this.#trialRanks.set(fingerprint, { trialRank, at: now });
     return trialRank;
   }
@@ -354,32 +364,32 @@
   fingerprint: string,
   entry: QuarantineEntry,
   now: number,
-): QuarantineNews {
+): QuarantineUpdate {
   return {
     fingerprint,
-    lostLives: Object.fromEntries(
+    lostIncarnations: Object.fromEntries(
       [...entry.lostIncarnations].map(([incarnation, at]) => [
         incarnation,
         now - at,
       ]),
     ),
-    tried: ageOf(entry.lastTrialAt, now),
+    lastTrialAge: ageOf(entry.lastTrialAt, now),
     trials: entry.trials,
-    ranWhole: ageOf(entry.completedAt, now),
+    completedAge: ageOf(entry.completedAt, now),
   };
 }
 
-function entryOf(update: QuarantineNews, now: number): QuarantineEntry {
+function entryOf(update: QuarantineUpdate, now: number): QuarantineEntry {
   return {
     lostIncarnations: new Map(
-      Object.entries(update.lostLives).map(([incarnation, age]) => [
+      Object.entries(update.lostIncarnations).map(([incarnation, age]) => [
         incarnation,
         timeOf(age, now),
       ]),
     ),
-    lastTrialAt: timeOf(update.tried, now),
+    lastTrialAt: timeOf(update.lastTrialAge, now),
     trials: update.trials,
-    completedAt: timeOf(update.ranWhole, now),
+    completedAt: timeOf(update.completedAge, now),
   };
 }
 
--- a/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
@@ -22,7 +22,7 @@
 import type { ServingMetrics } from "../observation/mod.ts";
 import { FINGERPRINT_PATTERN } from "./fingerprint.ts";
 import { STORED_ENTRY_RETENTION_MILLISECONDS } from "./quarantine_entry.ts";
-import type { Quarantine, QuarantineNews } from "./quarantine.ts";
+import type { Quarantine, QuarantineUpdate } from "./quarantine.ts";
 
 /** Dependencies of a {@link QuarantineStore}. */
 export interface QuarantineStoreParts {
@@ -88,12 +88,12 @@
     this.#repetition.hurry();
     // A copy that the store was restored from may lack what was written before.
     parts.store.onEra(() => {
-      if (parts.quarantine.stored().length > 0) this.changed();
+      if (parts.quarantine.stored().length > 0) this.scheduleWrite();
     });
   }
 
   /** Schedules a write of the current quarantine. */
-  changed(): void {
+  scheduleWrite(): void {
     this.#hasChanges = true;
     this.#repetition.hurry();
   }
@@ -134,7 +134,7 @@
       return;
     }
     const updates = updatesOf(read.value.data, wallTime());
-    quarantine.heard(updates);
+    quarantine.receive(updates);
     logger.info("stored quarantine read", { requests: updates.length });
   }
 
@@ -159,19 +159,26 @@
 }
 
 function storedOf(
-  updates: readonly QuarantineNews[],
+  updates: readonly QuarantineUpdate[],
   wallTime: number,
 ): StoredQuarantine {
   return {
     requests: Object.fromEntries(
-      updates.map(({ fingerprint, lostLives, tried, trials }) => [
-        fingerprint,
-        {
+      updates.map(
+        ({
+          fingerprint,
+          lostIncarnations: losses,
+          lastTrialAge: tried,
           trials,
-          lostLives: convertTimes(lostLives, wallTime),
-          ...(tried === undefined ? {} : { tried: wallTime - tried }),
-        },
-      ]),
+        }) => [
+          fingerprint,
+          {
+            trials,
+            lostLives: convertTimes(losses, wallTime),
+            ...(tried === undefined ? {} : { tried: wallTime - tried }),
+          },
+        ],
+      ),
     ),
   };
 }
@@ -179,17 +186,18 @@
 function updatesOf(
   { requests }: StoredQuarantine,
   wallTime: number,
-): readonly QuarantineNews[] {
+): readonly QuarantineUpdate[] {
   return Object.entries(requests).map(([fingerprint, stored]) => ({
     fingerprint,
-    lostLives: convertTimes(
+    lostIncarnations: convertTimes(
       stored.lostLives,
       wallTime,
       MAXIMUM_LOSS_AGE_MILLISECONDS,
     ),
-    tried: stored.tried === undefined ? undefined : wallTime - stored.tried,
+    lastTrialAge:
+      stored.tried === undefined ? undefined : wallTime - stored.tried,
     trials: stored.trials,
-    ranWhole: undefined,
+    completedAge: undefined,
   }));
 }
 
--- a/packages/rampswitch-serving/src/quarantine/quarantine_store_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store_test.ts
@@ -93,8 +93,8 @@
   };
   const quarantine = new Quarantine({
     ...parts,
-    turn: () => ({ rank: 0, lagMilliseconds: 700 }),
-    onStoredChange: () => opened.stored?.changed(),
+    trialRank: () => ({ rank: 0, lagMilliseconds: 700 }),
+    onStoredChange: () => opened.stored?.scheduleWrite(),
   });
   opened.stored = ownership.own(
     new QuarantineStore({
@@ -117,7 +117,10 @@
 
 function crash(quarantine: Quarantine, request: Fingerprint): void {
   ["a", "b", "c"].forEach((life) =>
-    quarantine.lost(request, { life, leavingSince: undefined }),
+    quarantine.recordLoss(request, {
+      incarnation: life,
+      leavingSince: undefined,
+    }),
   );
 }
 
@@ -146,7 +149,7 @@
       crash(await startedHost(store, clock, 0), crashing);
       await pass(clock);
       const started = await startedHost(store, clock, ahead);
-      expect(started.forbidsRepeat(crashing)).toBe(true);
+      expect(started.forbidsResend(crashing)).toBe(true);
       crash(started, requestOf("another"));
       await pass(clock);
       expect(store.values.at(-1)).toContain(crashing.text);
--- a/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_test.ts
@@ -10,7 +10,7 @@
 } from "rampswitch-utils";
 import { ServingMetrics } from "../observation/mod.ts";
 import { Fingerprint } from "./fingerprint.ts";
-import { Quarantine, type QuarantineNews } from "./quarantine.ts";
+import { Quarantine, type QuarantineUpdate } from "./quarantine.ts";
 
 const SECOND = 1_000;
 
@@ -49,7 +49,7 @@
     clock,
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
-    turn: (key) => ({
+    trialRank: (key) => ({
       rank: options.turn?.(key) ?? 0,
       lagMilliseconds: LAG_MILLISECONDS,
     }),
@@ -58,10 +58,10 @@
 }
 
 function lostIncarnation(incarnationName: string): {
-  readonly life: string;
+  readonly incarnation: string;
   readonly leavingSince: number | undefined;
 } {
-  return { life: incarnationName, leavingSince: undefined };
+  return { incarnation: incarnationName, leavingSince: undefined };
 }
 
 const FLEET_SIZE = 8;
@@ -74,7 +74,7 @@
 interface Message {
   readonly at: number;
   readonly to: number;
-  readonly updates: readonly QuarantineNews[];
+  readonly updates: readonly QuarantineUpdate[];
 }
 
 /**
@@ -86,7 +86,7 @@
   #hosts: readonly Quarantine[];
   #messages: readonly Message[] = [];
   /** The stored requests. */
-  #stored: readonly QuarantineNews[] = [];
+  #stored: readonly QuarantineUpdate[] = [];
   #storedAt = 0;
 
   constructor(seed: number) {
@@ -117,7 +117,7 @@
     const now = this.clock.now();
     const due = this.#messages.filter(({ at }) => at <= now);
     this.#messages = this.#messages.filter(({ at }) => at > now);
-    due.forEach(({ to, updates }) => this.#hosts[to]?.heard(updates));
+    due.forEach(({ to, updates }) => this.#hosts[to]?.receive(updates));
     this.#hosts.forEach((host, index) => {
       const shifted = (now / STEP_MILLISECONDS + index) * STEP_MILLISECONDS;
       if (shifted % GOSSIP_INTERVAL_MILLISECONDS === 0)
@@ -126,7 +126,7 @@
   }
 
   #broadcast(host: Quarantine, from: number): void {
-    const updates = host.news();
+    const updates = host.updates();
     if (updates.length === 0) return;
     this.#hosts.forEach((_, to) => {
       if (to === from) return;
@@ -142,7 +142,7 @@
     });
   }
 
-  #newHost(index: number, known: readonly QuarantineNews[] = []): Quarantine {
+  #newHost(index: number, known: readonly QuarantineUpdate[] = []): Quarantine {
     const host: Quarantine = quarantineOf(this.clock, {
       turn: (key) => rendezvousOrder(key, HOST_NAMES).indexOf(`h${index}`),
       onStoredChange: () => {
@@ -151,21 +151,22 @@
       },
     });
     const sinceStored = this.clock.now() - this.#storedAt;
-    host.heard(known.map((one) => aged(one, sinceStored)));
+    host.receive(known.map((one) => aged(one, sinceStored)));
     return host;
   }
 }
 
-function aged(update: QuarantineNews, by: number): QuarantineNews {
+function aged(update: QuarantineUpdate, by: number): QuarantineUpdate {
   return {
     ...update,
-    lostLives: Object.fromEntries(
-      Object.entries(update.lostLives).map(([incarnation, age]) => [
+    lostIncarnations: Object.fromEntries(
+      Object.entries(update.lostIncarnations).map(([incarnation, age]) => [
         incarnation,
         age + by,
       ]),
     ),
-    tried: update.tried === undefined ? undefined : update.tried + by,
+    lastTrialAge:
+      update.lastTrialAge === undefined ? undefined : update.lastTrialAge + by,
   };
 }
 
@@ -194,12 +195,12 @@
   #send(host: Quarantine, isFirst: boolean): void {
     const { clock } = this.#fleet;
     if (isFirst && host.begin(this.fingerprint).kind === "held") return;
-    if (!isFirst && host.forbidsRepeat(this.fingerprint)) return;
+    if (!isFirst && host.forbidsResend(this.fingerprint)) return;
     this.sentAt.push(clock.now());
     const incarnation = `life-${this.sentAt.length}`;
     clock.after(this.#runTime, () => {
       this.endedAt.push(clock.now());
-      host.lost(this.fingerprint, lostIncarnation(incarnation));
+      host.recordLoss(this.fingerprint, lostIncarnation(incarnation));
       if (isFirst) this.#send(host, false);
     });
   }
@@ -243,14 +244,14 @@
     const quarantine = quarantineOf(clock);
     const crashing = fingerprintOf("guilty");
     ["a", "b", "c"].forEach((incarnation) =>
-      quarantine.lost(crashing, lostIncarnation(incarnation)),
+      quarantine.recordLoss(crashing, lostIncarnation(incarnation)),
     );
     for (let count = 0; count < 10_000; count += 1) {
       const other = fingerprintOf(`other ${count}`);
-      quarantine.lost(other, lostIncarnation(`d${count}`));
+      quarantine.recordLoss(other, lostIncarnation(`d${count}`));
     }
     expect(quarantine.decide(crashing).kind).toBe("held");
-    expect(quarantine.news()[0]?.fingerprint).toBe(crashing.text);
+    expect(quarantine.updates()[0]?.fingerprint).toBe(crashing.text);
   });
 
   test("counts a loss at an unresponsive server only when the server has ended", () => {
@@ -258,22 +259,24 @@
     const quarantine = quarantineOf(clock);
     const request = fingerprintOf("silent");
     ["a", "b", "c"].forEach((incarnation) =>
-      quarantine.silent(request, lostIncarnation(incarnation)),
+      quarantine.recordUnresponsive(request, lostIncarnation(incarnation)),
     );
     expect(quarantine.decide(request).kind).toBe("free");
     clock.advance(4_000);
-    ["a", "b", "c"].forEach((incarnation) => quarantine.lifeEnded(incarnation));
+    ["a", "b", "c"].forEach((incarnation) =>
+      quarantine.incarnationEnded(incarnation),
+    );
     // The delay starts when the servers became unresponsive, so the first trial is
     // due.
     expect(quarantine.decide(request).kind).toBe("trial");
-    expect(quarantine.forbidsRepeat(request)).toBe(true);
+    expect(quarantine.forbidsResend(request)).toBe(true);
   });
 
   test("is not suspected when the end of the servers was announced", () => {
     const quarantine = quarantineOf(new ManualClock(1_000));
     const request = fingerprintOf("moved");
     ["a", "b", "c"].forEach((life) =>
-      quarantine.lost(request, { life, leavingSince: 500 }),
+      quarantine.recordLoss(request, { incarnation: life, leavingSince: 500 }),
     );
     expect(quarantine.decide(request).kind).toBe("free");
   });
@@ -299,7 +302,7 @@
         const request = fingerprintOf("popular");
         const lostAt = fleet.clock.now();
         for (let count = 0; count < lost; count += 1) {
-          fleet.anyHost().lost(request, lostIncarnation(`life-${count}`));
+          fleet.anyHost().recordLoss(request, lostIncarnation(`life-${count}`));
         }
         let heldUntil = lostAt;
         let trials = 0;
@@ -311,7 +314,7 @@
           if (kind === "trial") trials += 1;
           if (kind === "held") heldUntil = fleet.clock.now();
           // Each run takes 60 ms.
-          else fleet.clock.after(60, () => host.ranWhole(request));
+          else fleet.clock.after(60, () => host.recordCompletion(request));
         }
         // The report of the completed run takes some gossip intervals as well.
         const known = longest === 0 ? 0 : 4 * GOSSIP_INTERVAL_MILLISECONDS;
@@ -325,7 +328,7 @@
     const quarantine = quarantineOf(new ManualClock(1_000));
     const crashing = fingerprintOf("guilty");
     ["a", "b", "c"].forEach((incarnation) =>
-      quarantine.lost(crashing, lostIncarnation(incarnation)),
+      quarantine.recordLoss(crashing, lostIncarnation(incarnation)),
     );
     expect(quarantine.decide(fingerprintOf("innocent")).kind).toBe("free");
   });
@@ -336,9 +339,9 @@
     const request = fingerprintOf("popular");
     for (let count = 0; count < 50; count += 1) {
       clock.advance(500);
-      quarantine.lost(request, lostIncarnation(`life-${count}`));
+      quarantine.recordLoss(request, lostIncarnation(`life-${count}`));
       clock.advance(500);
-      quarantine.ranWhole(request);
+      quarantine.recordCompletion(request);
       expect(quarantine.decide(request).kind).toBe("free");
     }
   });
@@ -347,10 +350,10 @@
     const clock = new ManualClock(1_000);
     const quarantine = quarantineOf(clock);
     const request = fingerprintOf("once");
-    quarantine.lost(request, lostIncarnation("a"));
+    quarantine.recordLoss(request, lostIncarnation("a"));
     clock.advance(61 * SECOND);
-    quarantine.news();
-    quarantine.lost(request, lostIncarnation("b"));
-    expect(quarantine.forbidsRepeat(request)).toBe(false);
+    quarantine.updates();
+    quarantine.recordLoss(request, lostIncarnation("b"));
+    expect(quarantine.forbidsResend(request)).toBe(false);
   });
 });
--- a/packages/rampswitch-serving/src/relay/arrival_rates.ts
+++ b/packages/rampswitch-serving/src/relay/arrival_rates.ts
@@ -22,7 +22,7 @@
   }
 
   /** Adds a request; returns the arrival rate, in requests a millisecond. */
-  noted(service: string, now: number): number {
+  addArrival(service: string, now: number): number {
     const earlier = this.#arrivals.get(service) ?? [];
     const oldest = now - SPAN_MILLISECONDS;
     const arrivals = [...earlier.filter((at) => at > oldest), now];
--- a/packages/rampswitch-serving/src/relay/hold_times.ts
+++ b/packages/rampswitch-serving/src/relay/hold_times.ts
@@ -35,7 +35,7 @@
   }
 
   /** Adds the time for which a request occupied its slot, in milliseconds. */
-  measured(service: string, milliseconds: number): void {
+  addMeasurement(service: string, milliseconds: number): void {
     const known = this.#times.get(service) ?? INITIAL_MEAN;
     const bounded = Math.min(
       MAXIMUM_MILLISECONDS,
--- a/packages/rampswitch-serving/src/relay/learned_answers.ts
+++ b/packages/rampswitch-serving/src/relay/learned_answers.ts
@@ -19,7 +19,7 @@
 }
 
 /** Measures the reading rate; a request's only send had its first part at `now`. */
-export function learnReadingRate(
+export function observeReadingRate(
   request: AdmittedRequest,
   send: TimedSend & { readonly now: number },
   { readingRates }: RequestContext,
@@ -27,27 +27,30 @@
   if (send.unreadBefore > 0) return;
   readingRates.addMeasurement(
     request.service.name,
-    promptTokens(request.head) - send.choice.keptTokens,
+    promptTokens(request.head) - send.choice.cachedTokens,
     send.now - send.sentAt,
   );
 }
 
 /** Measures the hold time of a plain request, which occupies its slot from its send on. */
-export function learnPlainTime(
+export function observePlainHoldTime(
   request: AdmittedRequest,
   send: Pick<TimedSend, "sentAt"> & { readonly now: number },
   { holdTimes }: RequestContext,
 ): void {
   if (request.service.engine !== undefined) return;
-  holdTimes.measured(request.service.name, send.now - send.sentAt);
+  holdTimes.addMeasurement(request.service.name, send.now - send.sentAt);
 }
 
 /** Measures the hold time of a stream, which occupies its slot from its first part on. */
-export function learnHoldTime(
+export function observeStreamHoldTime(
   request: AdmittedRequest,
   stream: { readonly firstPartAt: number | undefined; readonly now: number },
   { holdTimes }: RequestContext,
 ): void {
   if (stream.firstPartAt === undefined) return;
-  holdTimes.measured(request.service.name, stream.now - stream.firstPartAt);
+  holdTimes.addMeasurement(
+    request.service.name,
+    stream.now - stream.firstPartAt,
+  );
 }
--- a/packages/rampswitch-serving/src/relay/leaving_servers.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers.ts
@@ -8,7 +8,10 @@
 import { type Clock, type Logger, sleep } from "rampswitch-utils";
 import type { ServerRecord } from "../choice/mod.ts";
 import type { EngineControl } from "../model/engine_control.ts";
-import { type StatementReader, toldReport } from "../statements/mod.ts";
+import {
+  type AdvertisementReader,
+  readEngineReport,
+} from "../statements/mod.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { CallerServer } from "../intake/caller_server.ts";
 
@@ -29,7 +32,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly engineControl: EngineControl;
-  readonly statements: StatementReader;
+  readonly statements: AdvertisementReader;
   /** Time for which a leaving server still serves, if it reports none, in ms. */
   readonly drainMilliseconds: number;
 }
@@ -45,7 +48,7 @@
   }
 
   /** Schedules migrations for a server that announced its end or lost its entry. */
-  async left(record: ServerRecord): Promise<void> {
+  async scheduleMigration(record: ServerRecord): Promise<void> {
     const { clock, drainMilliseconds } = this.#parts;
     const announcedAt = record.leavingSince ?? clock.now();
     await sleep(clock, REPORT_LAG_MILLISECONDS);
@@ -53,11 +56,11 @@
     const report =
       this.#runsAt((server) => server === record).length === 0
         ? undefined
-        : await toldReport(record, this.#parts);
+        : await readEngineReport(record, this.#parts);
     // The report of a later incarnation does not apply to this one.
     const reportedMilliseconds =
-      report !== undefined && record.isLife(report.born)
-        ? report.leavesMilliseconds
+      report !== undefined && record.matchesIncarnation(report.born)
+        ? report.endsInMilliseconds
         : undefined;
     const millisecondsLeft =
       reportedMilliseconds ?? drainMilliseconds - (clock.now() - announcedAt);
@@ -69,8 +72,8 @@
   }
 
   /** Migrates the runs of servers that receive no requests any more. */
-  leave(isAbandoned: (record: ServerRecord) => boolean): void {
-    this.#runsAt(isAbandoned).forEach((run) => void run.moveAway());
+  migrateRuns(isAbandoned: (record: ServerRecord) => boolean): void {
+    this.#runsAt(isAbandoned).forEach((run) => void run.migrate());
   }
 
   /** Streams of engines at the affected servers; nothing else has memory to migrate. */
@@ -78,8 +81,8 @@
     isAffected: (server: ServerRecord) => boolean,
   ): readonly RequestRun[] {
     return this.#callers.runs.filter(
-      ({ server, movable }) =>
-        movable && server !== undefined && isAffected(server),
+      ({ server, migratable }) =>
+        migratable && server !== undefined && isAffected(server),
     );
   }
 
@@ -96,6 +99,6 @@
       toldMilliseconds: reportedMilliseconds,
       runs: runs.length,
     });
-    runs.forEach((run) => void run.moveAway());
+    runs.forEach((run) => void run.migrate());
   }
 }
--- a/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
@@ -8,8 +8,8 @@
 import type { EngineControl, EngineReport } from "../model/engine_control.ts";
 import { LeavingServers } from "./leaving_servers.ts";
 import {
-  SAYS_NOTHING,
-  silentStatements,
+  NOTHING_ADVERTISED,
+  ignoringAdvertisementReader,
 } from "../statements/statements_standin.ts";
 
 // A server's entry is removed when it leaves, and also when the store could not be
@@ -50,8 +50,8 @@
   let migrations = 0;
   const run = {
     server: record,
-    movable: true,
-    moveAway: () => {
+    migratable: true,
+    migrate: () => {
       migrations += 1;
       return Promise.resolve();
     },
@@ -61,14 +61,14 @@
     {
       clock,
       logger: SILENT_LOGGER,
-      statements: silentStatements(),
+      statements: ignoringAdvertisementReader(),
       drainMilliseconds: DRAIN_MILLISECONDS,
       engineControl: {
         report: () => Promise.resolve(report),
       } as unknown as EngineControl,
     },
   );
-  void servers.left(record);
+  void servers.scheduleMigration(record);
   clock.advance(LAG_MILLISECONDS);
   await settled();
   return { clock, record, migrations: () => migrations };
@@ -76,8 +76,8 @@
 
 const REPORT: EngineReport = {
   born: 1_000,
-  leavesMilliseconds: 2_000,
-  says: SAYS_NOTHING,
+  endsInMilliseconds: 2_000,
+  advertised: NOTHING_ADVERTISED,
 };
 
 describe("runs at a server that leaves", () => {
--- a/packages/rampswitch-serving/src/relay/load_meter.ts
+++ b/packages/rampswitch-serving/src/relay/load_meter.ts
@@ -55,7 +55,7 @@
   }
 
   /** Receives a peer's totals; `incarnation` differs for each of its processes. */
-  heard(incarnation: string, totals: ReadTokens): void {
+  receivePeerTotals(incarnation: string, totals: ReadTokens): void {
     const first = this.#peers.get(incarnation)?.first ?? totals;
     this.#peers.set(incarnation, { first, last: totals });
   }
--- a/packages/rampswitch-serving/src/relay/load_meter_test.ts
+++ b/packages/rampswitch-serving/src/relay/load_meter_test.ts
@@ -15,7 +15,7 @@
     const rates = Array.from({ length: 8 }, (_, index) => {
       clock.advance(SAMPLE_INTERVAL_MILLISECONDS);
       // A peer that has read ten million tokens reads 1,000 in each interval.
-      meter.heard("peer/1", { models: 10_000_000 + 1_000 * index });
+      meter.receivePeerTotals("peer/1", { models: 10_000_000 + 1_000 * index });
       return meter.readTokensPerSecond("models");
     });
     expect(Math.max(...rates)).toBeLessThanOrEqual(4_000);
@@ -25,13 +25,13 @@
   test("adds the next incarnation of a peer to its former one", () => {
     const clock = new ManualClock();
     const meter = new LoadMeter(clock);
-    meter.heard("peer/1", { models: 0 });
+    meter.receivePeerTotals("peer/1", { models: 0 });
     meter.readTokensPerSecond("models");
     clock.advance(1_000);
-    meter.heard("peer/1", { models: 5_000 });
-    meter.heard("peer/2", { models: 0 });
+    meter.receivePeerTotals("peer/1", { models: 5_000 });
+    meter.receivePeerTotals("peer/2", { models: 0 });
     clock.advance(1_000);
-    meter.heard("peer/2", { models: 3_000 });
+    meter.receivePeerTotals("peer/2", { models: 3_000 });
     expect(meter.readTokensPerSecond("models")).toBe(4_000);
   });
 
@@ -48,7 +48,7 @@
   test("is idle until any host has sent tokens to be read", () => {
     const meter = new LoadMeter(new ManualClock());
     expect(meter.idle).toBe(true);
-    meter.heard("peer/1", { models: 7 });
+    meter.receivePeerTotals("peer/1", { models: 7 });
     expect(meter.idle).toBe(false);
   });
 });
--- a/packages/rampswitch-serving/src/relay/memory_migration.ts
+++ b/packages/rampswitch-serving/src/relay/memory_migration.ts
@@ -10,7 +10,7 @@
 import { Result } from "true-myth";
 import type {
   EngineControl,
-  KeptMemory,
+  RetainedMemory,
   MemoryCopyError,
 } from "../model/engine_control.ts";
 
@@ -42,7 +42,7 @@
 export async function migrateMemory(
   migration: MemoryMigration,
   parts: MemoryMigrationParts,
-): Promise<Result<KeptMemory, MemoryMigrationError>> {
+): Promise<Result<RetainedMemory, MemoryMigrationError>> {
   const copied = await parts.control.copyMemory({
     ...migration,
     stopsRun: false,
@@ -56,7 +56,7 @@
 async function stopAndMigrate(
   migration: MemoryMigration,
   parts: MemoryMigrationParts,
-): Promise<Result<KeptMemory, MemoryMigrationError>> {
+): Promise<Result<RetainedMemory, MemoryMigrationError>> {
   if (!parts.stillRuns()) return Result.err("run_ended");
   // The second copy holds only what is new, and the target has lost the first one.
   if (!parts.targetStillRuns()) return Result.err("target_ended");
@@ -73,7 +73,7 @@
 async function stopRun(
   migration: MemoryMigration,
   { control }: MemoryMigrationParts,
-): Promise<Result<KeptMemory, MemoryCopyError>> {
+): Promise<Result<RetainedMemory, MemoryCopyError>> {
   const stopped = await control.copyMemory({ ...migration, stopsRun: true });
   return stopped.isErr && stopped.error === "no_answer"
     ? control.copyMemory({ ...migration, stopsRun: true })
--- a/packages/rampswitch-serving/src/relay/memory_migration_test.ts
+++ b/packages/rampswitch-serving/src/relay/memory_migration_test.ts
@@ -4,7 +4,7 @@
 import { Result } from "true-myth";
 import type {
   EngineControl,
-  KeptMemory,
+  RetainedMemory,
   MemoryCopyError,
 } from "../model/engine_control.ts";
 import {
@@ -18,7 +18,7 @@
 // to serve: by a failed stop that leaves the first copy at the target, or by a call
 // that frees memory only at its source although the source has ended.
 
-type Answer = Result<KeptMemory, MemoryCopyError>;
+type Answer = Result<RetainedMemory, MemoryCopyError>;
 
 const MIGRATION = { from: "source:1", to: "target:1", attemptId: "r1" };
 const COPIED: Answer = Result.ok({ handle: "h1", copied: true });
--- a/packages/rampswitch-serving/src/relay/own_refusal.ts
+++ b/packages/rampswitch-serving/src/relay/own_refusal.ts
@@ -27,8 +27,8 @@
   | "hosts"
   | "quarantine"
   | "random"
-  | "restWaits"
-  | "turns"
+  | "backOffWaits"
+  | "permits"
 >;
 
 /** Answers with a refusal, and refunds the tokens charged if the request did not run. */
@@ -43,7 +43,7 @@
   const { request, answer } = exchange;
   const { status, notRun } = REFUSALS[reason];
   if (notRun && request.workspace !== undefined) {
-    parts.admission.giveBack({
+    parts.admission.refund({
       workspace: request.workspace.name,
       tokens: request.chargedTokens,
     });
@@ -96,30 +96,32 @@
  */
 function backOffWaitMilliseconds(
   { service }: AdmittedRequest,
-  {
-    clock,
-    directory,
-    holdTimes,
-    hosts,
-    restWaits: backOffWaits,
-  }: RefusalContext,
+  { clock, directory, holdTimes, hosts, backOffWaits }: RefusalContext,
 ): number {
   const now = clock.now();
   const ready = directory.of(service.name).filter(({ isReady }) => isReady);
-  const ends = ready.map(({ rest }) => rest.returnsAt);
-  backOffWaits.refused(service.name, Math.max(0, Math.min(...ends) - now), now);
+  const ends = ready.map(({ backOff: rest }) => rest.returnsAt);
+  backOffWaits.recordRefusal(
+    service.name,
+    Math.max(0, Math.min(...ends) - now),
+    now,
+  );
   const slots = ready.reduce((sum, { entry }) => sum + entry.slots, 0);
   const perSecond = (1_000 * slots) / holdTimes.of(service.name);
-  return backOffWaits.tell(service.name, { perSecond, hosts: hosts() }, now);
+  return backOffWaits.assignRetryDelay(
+    service.name,
+    { perSecond, hosts: hosts() },
+    now,
+  );
 }
 
 /** Wait until a permit is free at the limited servers, in milliseconds. */
 function permitWaitMilliseconds(
   { service }: AdmittedRequest,
-  { directory, turns: permits }: RefusalContext,
+  { directory, permits }: RefusalContext,
 ): number {
   const limited = permits
     .limited(directory.of(service.name))
     .filter(({ isReady }) => isReady);
-  return permits.waitToTell(service.name, limited);
+  return permits.assignRetryDelay(service.name, limited);
 }
--- a/packages/rampswitch-serving/src/relay/permit_choice.ts
+++ b/packages/rampswitch-serving/src/relay/permit_choice.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import type { Choice, ServerRecord } from "../choice/mod.ts";
-import type { TurnReply, TurnUrgency } from "../server_limits/mod.ts";
+import type { PermitReply, PermitUrgency } from "../server_limits/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { RequestContext } from "./request_context.ts";
 import { choosePermitted } from "./send_choice.ts";
@@ -30,7 +30,7 @@
   context: RequestContext,
 ): Promise<Choice | undefined> {
   if (send.limited.length === 0) return undefined;
-  const reply = await context.turns.take({
+  const reply = await context.permits.acquire({
     service: send.request.service.name,
     servers: send.limited.map(({ entry }) => entry.id),
     urgency: urgencyOf(send),
@@ -50,14 +50,14 @@
   if (send.limited.length === 0) return undefined;
   const { name } = send.request.service;
   return choiceFromReply(
-    context.turns.probe(name, send.limited),
+    context.permits.probe(name, send.limited),
     send,
     context,
   );
 }
 
 function choiceFromReply(
-  reply: TurnReply,
+  reply: PermitReply,
   { request, limited }: SendNeedingPermit,
   context: RequestContext,
 ): Choice | undefined {
@@ -68,7 +68,7 @@
     : choosePermitted(record, request, context);
 }
 
-function urgencyOf({ request, continues }: SendNeedingPermit): TurnUrgency {
+function urgencyOf({ request, continues }: SendNeedingPermit): PermitUrgency {
   if (continues === true) return "continuation";
   return request.route.priority === MOST_URGENT_PRIORITY
     ? "urgent"
--- a/packages/rampswitch-serving/src/relay/recent_dispatches.ts
+++ b/packages/rampswitch-serving/src/relay/recent_dispatches.ts
@@ -7,7 +7,7 @@
  */
 import type { PromptPart } from "../model/request.ts";
 import type { BackendServer } from "../model/backend_server.ts";
-import type { DispatchNews } from "../membership/peer_news.ts";
+import type { DispatchUpdate } from "../membership/peer_news.ts";
 
 /** Maximum dispatches in one message; the newest are the most useful. */
 const MAXIMUM_DISPATCHES_PER_MESSAGE = 24;
@@ -15,7 +15,7 @@
 /** Time for which a dispatch is reported, in milliseconds: two or three messages. */
 const REPORT_LIFETIME_MILLISECONDS = 600;
 
-interface Dispatch extends DispatchNews {
+interface Dispatch extends DispatchUpdate {
   firstReportedAt: number | undefined;
 }
 
@@ -43,7 +43,7 @@
   }
 
   /** Dispatches to report now; older ones are removed. */
-  take(now: number): readonly DispatchNews[] {
+  take(now: number): readonly DispatchUpdate[] {
     this.#dispatches.forEach((dispatch) => {
       dispatch.firstReportedAt ??= now;
     });
--- a/packages/rampswitch-serving/src/relay/request_context.ts
+++ b/packages/rampswitch-serving/src/relay/request_context.ts
@@ -9,8 +9,8 @@
 import type { ResendBudget, FleetAdmission } from "../admission/mod.ts";
 import type { BackendClient } from "../attempt/mod.ts";
 import type {
-  KnownPlaces,
-  PrefixKnowledge,
+  SlotTotalsCache,
+  PrefixCacheEstimate,
   ServerDirectory,
   ServerRecord,
 } from "../choice/mod.ts";
@@ -21,8 +21,8 @@
 import type { Quarantine } from "../quarantine/mod.ts";
 import type { Rollouts } from "../rollout/mod.ts";
 import type { ArrivalRates } from "./arrival_rates.ts";
-import type { ServerTurns, TurnWaits } from "../server_limits/mod.ts";
-import type { StatementReader } from "../statements/mod.ts";
+import type { ServerPermits, PermitWaits } from "../server_limits/mod.ts";
+import type { AdvertisementReader } from "../statements/mod.ts";
 import type { HoldTimes } from "./hold_times.ts";
 import type { ReadingRates } from "./reading_rates.ts";
 
@@ -54,19 +54,19 @@
   readonly client: BackendClient;
   readonly engineControl: EngineControl;
   readonly directory: ServerDirectory;
-  readonly prefixes: PrefixKnowledge;
+  readonly prefixes: PrefixCacheEstimate;
   readonly readingRates: ReadingRates;
   readonly holdTimes: HoldTimes;
   readonly arrivalRates: ArrivalRates;
-  readonly places: KnownPlaces;
+  readonly slotTotals: SlotTotalsCache;
   readonly admission: FleetAdmission;
   readonly budget: ResendBudget;
   readonly quarantine: Quarantine;
   readonly rollouts: Rollouts;
-  readonly turns: ServerTurns;
+  readonly permits: ServerPermits;
   /** Retry times given to callers that were refused during servers' back-offs. */
-  readonly restWaits: TurnWaits;
-  readonly statements: StatementReader;
+  readonly backOffWaits: PermitWaits;
+  readonly statements: AdvertisementReader;
   readonly metrics: ServingMetrics;
   readonly logger: Logger;
   configuration(): ConfigurationView;
@@ -77,13 +77,13 @@
   /** Time that a leaving server keeps serving after its announcement, in milliseconds. */
   drainMilliseconds(): number;
   /** Age of this host's information on other hosts' work, in milliseconds. */
-  newsLagMilliseconds(): number;
+  gossipLagMilliseconds(): number;
   /** Whether other hosts report to this host which prompts they sent to which server. */
-  hearsDispatches(): boolean;
+  receivesDispatches(): boolean;
   /** Whether this host still accepts new requests. */
-  startsRequests(): boolean;
+  acceptsRequests(): boolean;
   /** Whether answers close the connection, so that callers go to another host. */
-  endsConnections(): boolean;
+  closesConnections(): boolean;
   /** Called when a request of a workspace starts to run. */
   began(workspace: string): void;
   /** Called when a prompt was sent to a server. */
