--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -9,7 +9,7 @@
  */
 import type { ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import type { ResendAsked, ResendKind } from "../admission/mod.ts";
+import type { ResendContext, ResendKind } from "../admission/mod.ts";
 import { AttemptTracker, type Send } from "../attempt/mod.ts";
 import type { Choice, ServerRecord, StartedWork } from "../choice/mod.ts";
 import {
@@ -29,9 +29,9 @@
 import { EventFramer, isAfter } from "./event_framer.ts";
 import { answerRefusal } from "./own_refusal.ts";
 import {
-  learnHoldTime,
-  learnPlainTime,
-  learnReadingRate,
+  observeStreamHoldTime,
+  observePlainHoldTime,
+  observeReadingRate,
   type TimedSend,
 } from "./learned_answers.ts";
 import type { RequestContext } from "./request_context.ts";
@@ -41,7 +41,11 @@
   type NotRepeatedReason,
   RunRecord,
 } from "./run_record.ts";
-import { type MovableRun, RunMove, type Spending } from "./run_move.ts";
+import {
+  type MigratableRun,
+  RunMigration,
+  type BudgetDecision,
+} from "./run_move.ts";
 import { SendChooser } from "./send_chooser.ts";
 import { StallWatch } from "./stall_watch.ts";
 
@@ -98,7 +102,7 @@
   #lastEventId: string | undefined;
   /** Id of the last event that was relayed in this answer. */
   #lastRelayedId: string | undefined;
-  readonly #migration: RunMove;
+  readonly #migration: RunMigration;
   readonly #sendChooser: SendChooser;
   #cancelDeadline: () => void = () => undefined;
   readonly #stallWatch: StallWatch;
@@ -118,7 +122,7 @@
     this.#record = new RunRecord(request, context);
     this.#stallWatch = new StallWatch(context.clock, () => this.#handleStall());
     this.#answer = new CallerAnswer(exchange.response, () =>
-      context.endsConnections(),
+      context.closesConnections(),
     );
     this.#tracker = new AttemptTracker(
       request.route.resumable ? "repeatable" : request.route.repeatability,
@@ -132,7 +136,7 @@
       },
       context,
     );
-    this.#migration = new RunMove(this.#migratableRun(), context);
+    this.#migration = new RunMigration(this.#migratableRun(), context);
     this.#lastEventId = request.head.lastEventId;
     this.#deadlineAt = request.arrivedAt + timeLimitMilliseconds(request);
     exchange.response.on("close", () => {
@@ -146,15 +150,15 @@
   }
 
   /** Whether it is a stream whose KV-cache memory can migrate to another engine. */
-  get movable(): boolean {
+  get migratable(): boolean {
     return (
       this.request.route.streaming &&
-      (this.request.service.engine?.movable ?? false)
+      (this.request.service.engine?.migratable ?? false)
     );
   }
 
   /** Whether the answer goes out on a connection. */
-  isAskedOn(connection: Socket): boolean {
+  isAnsweredOn(connection: Socket): boolean {
     return this.#answer.isOnConnection(connection);
   }
 
@@ -164,7 +168,7 @@
     this.#cancelDeadline = this.#context.clock.after(Math.max(0, wait), () =>
       this.#handleTimeout(),
     );
-    this.#context.budget.requested(
+    this.#context.budget.recordRequest(
       this.request.service.name,
       this.#budgetQuery(),
     );
@@ -172,8 +176,8 @@
   }
 
   /** Migrates a running stream to another engine, with its memory. */
-  moveAway(): Promise<void> {
-    return this.#migration.moveAway();
+  migrate(): Promise<void> {
+    return this.#migration.migrate();
   }
 
   /**
@@ -186,7 +190,7 @@
   }
 
   /** This run, as its migrations see it. */
-  #migratableRun(): MovableRun {
+  #migratableRun(): MigratableRun {
     return {
       attemptId: this.request.head.attemptId,
       record: this.#record,
@@ -201,7 +205,7 @@
         this.#endCurrentSend(true);
         this.#tracker.handle({ type: "stopped" });
       },
-      sendOn: (choice, memory) => this.#sendContinuation(choice, memory),
+      continueAt: (choice, memory) => this.#sendContinuation(choice, memory),
       memoryLost: (reason) => {
         // The resend rules restart only a request that may be repeated.
         this.#tracker.handle({ type: "memory_lost" });
@@ -243,7 +247,7 @@
     const hasPermit = await permitted;
     if (this.#answer.finished) return;
     if (hasPermit) this.#sendTo(choice, memory);
-    else this.#migration.goOnAfter("rejected");
+    else this.#migration.resumeAfter("rejected");
   }
 
   #sendFirst(choice: Choice): void {
@@ -257,14 +261,15 @@
     const { request } = this;
     const parts = request.head.promptParts;
     const tokens = promptTokens(request.head);
-    const unreadBefore = record.unreadTokens(this.#now());
-    this.#tried.add(record.life);
+    const unreadBefore = record.pendingPrefillTokens(this.#now());
+    this.#tried.add(record.incarnation);
     this.#record.sentTo(record, {
       continues: memorySource !== undefined,
       lastEventId: this.#lastEventId,
       possibleRuns: this.#tracker.possibleRuns,
     });
-    const unread = memorySource === undefined ? tokens - choice.keptTokens : 0;
+    const unread =
+      memorySource === undefined ? tokens - choice.cachedTokens : 0;
     const work = record.started(Math.max(0, unread));
     if (request.service.engine !== undefined) {
       this.#context.prefixes.stored(
@@ -291,7 +296,7 @@
           enginePriority: enginePriority(request),
           lastEventId: this.#lastEventId,
           memorySource,
-          copyPartsFrom:
+          copyCachedPartsFrom:
             memorySource === undefined
               ? choice.copyFrom?.entry.address
               : undefined,
@@ -350,7 +355,8 @@
       relayed: this.#tracker.relayed,
     });
     this.#resend("stalled", "timed_out", (next) => {
-      if (this.movable) this.#migration.stopLeft(current.choice.record, next);
+      if (this.migratable)
+        this.#migration.stopAbandoned(current.choice.record, next);
     });
   }
 
@@ -369,7 +375,7 @@
     }
     this.#head = head;
     if (head.notExecuted) return;
-    current.work.taken();
+    current.work.requestAccepted();
     const success = isSuccess(head.status);
     if (success && !head.signed) {
       current.send.abort();
@@ -378,12 +384,12 @@
     }
     const resumes = this.#tracker.state === "resuming";
     this.#tracker.handle({ type: "answered" });
-    this.#migration.wentOn();
+    this.#migration.resumed();
     if (!success && this.#answer.started) this.#handleFailedResume(head);
     // The server that stopped the run for a migration still ends soon, so a run
     // that resumed there must migrate again.
     else if (resumes && current.choice.record.entry.state === "leaving") {
-      void this.moveAway();
+      void this.migrate();
     }
   }
 
@@ -395,7 +401,7 @@
   #readAdvertisements(head: AnswerHead, record: ServerRecord): void {
     if (head.status === MISDIRECTED || head.attemptId === undefined) return;
     const isLate = head.attemptId !== this.request.head.attemptId;
-    this.#context.statements.read(record, head.says, { isLate });
+    this.#context.statements.read(record, head.advertised, { isLate });
   }
 
   /**
@@ -458,13 +464,13 @@
   #beginStream(current: CurrentSend): void {
     const head = this.#head;
     if (head === undefined) return;
-    current.work.readPrompt();
+    current.work.prefillEnded();
     current.firstPartAt = this.#now();
     this.#record.began();
     this.#record.firstPart();
     if (this.#record.sends === 1) {
       const send = { ...current, now: this.#now() };
-      learnReadingRate(this.request, send, this.#context);
+      observeReadingRate(this.request, send, this.#context);
     }
     this.#answer.begin(head.status, head.forwarded);
   }
@@ -487,9 +493,9 @@
     if (!this.#answer.started) this.#beginStream(current);
     const { firstPartAt } = current;
     const stream = { firstPartAt, now: this.#now() };
-    learnHoldTime(this.request, stream, this.#context);
+    observeStreamHoldTime(this.request, stream, this.#context);
     current.choice.record.succeeded();
-    this.#context.quarantine.ranWhole(this.request.fingerprint);
+    this.#context.quarantine.recordCompletion(this.request.fingerprint);
     this.#finish("completed");
     this.#answer.end();
   }
@@ -497,9 +503,9 @@
   #handleWholeAnswer(head: AnswerHead, current: CurrentSend): void {
     const body = this.#bufferedBody.toBuffer();
     const answered = { sentAt: current.sentAt, now: this.#now() };
-    learnPlainTime(this.request, answered, this.#context);
+    observePlainHoldTime(this.request, answered, this.#context);
     this.#record.began();
-    this.#context.quarantine.ranWhole(this.request.fingerprint);
+    this.#context.quarantine.recordCompletion(this.request.fingerprint);
     const failed = head.status >= FIRST_SERVER_ERROR_STATUS;
     if (failed) current.choice.record.failed(this.#now(), POSSIBLY_UP);
     else current.choice.record.succeeded();
@@ -538,8 +544,8 @@
    */
   #countRejection(record: ServerRecord): void {
     const now = this.#now();
-    if (record.rest.holds(now)) return;
-    if (this.#context.turns.limitOf(record) !== undefined) return;
+    if (record.backOff.isActive(now)) return;
+    if (this.#context.permits.limitOf(record) !== undefined) return;
     record.rejected(now);
   }
 
@@ -559,20 +565,20 @@
   #recordUnreachable(current: CurrentSend | undefined): void {
     if (current === undefined) return;
     current.choice.record.failed(this.#now(), { surelyDown: true });
-    this.#migration.unreachable(current.choice);
+    this.#migration.markUnreachable(current.choice);
   }
 
   /** Sends the request again after a send that certainly ran nothing. */
   #resendOrResume(reason: ResendReason, fallback: RefusalReason): void {
     // A suspended run still exists, so the request must not start a second one.
-    if (this.#tracker.canResume) this.#migration.goOnAfter(reason);
+    if (this.#tracker.canResume) this.#migration.resumeAfter(reason);
     else this.#resend(reason, fallback);
   }
 
   #handleLoss(reason: ResendReason, detail: string): void {
     const record = this.#current?.choice.record;
     if (this.#migration.stopping) {
-      this.#migration.lostWhileStopping();
+      this.#migration.noteLostWhileStopping();
       return;
     }
     const before = this.#tracker.state;
@@ -583,7 +589,7 @@
       // Recorded before the next send, since a request may crash every server
       // that starts it.
       if (reason === "connection_lost") {
-        this.#context.quarantine.lost(this.request.fingerprint, record);
+        this.#context.quarantine.recordLoss(this.request.fingerprint, record);
       }
     }
     this.#endCurrentSend(true);
@@ -642,7 +648,7 @@
   }
 
   /** Takes one further send from the budget, if it has one left. */
-  #spendBudget(kind: ResendKind): Spending {
+  #spendBudget(kind: ResendKind): BudgetDecision {
     const { budget } = this.#context;
     const { name } = this.request.service;
     const asked = this.#budgetQuery();
@@ -650,7 +656,7 @@
     return { granted: budget.spend(name, { ...asked, kind }), view };
   }
 
-  #budgetQuery(): ResendAsked {
+  #budgetQuery(): ResendContext {
     return { now: this.#now(), hosts: this.#context.listedHosts() };
   }
 
@@ -723,7 +729,10 @@
 
   #recordUnresponsive({ choice: { record } }: CurrentSend): void {
     record.failed(this.#now(), POSSIBLY_UP);
-    this.#context.quarantine.silent(this.request.fingerprint, record);
+    this.#context.quarantine.recordUnresponsive(
+      this.request.fingerprint,
+      record,
+    );
   }
 
   /** Ends the current send, its load counts and its buffered data. */
--- a/packages/rampswitch-serving/src/relay/resend_rules.ts
+++ b/packages/rampswitch-serving/src/relay/resend_rules.ts
@@ -11,7 +11,7 @@
 import type { Quarantine } from "../quarantine/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { NotRepeatedReason } from "./run_record.ts";
-import { LEAST_USEFUL_MILLISECONDS } from "./run_move.ts";
+import { MINIMUM_USEFUL_MILLISECONDS } from "./run_move.ts";
 
 /** Maximum number of sends of one request that ask for a further run. */
 const MAXIMUM_REPEATS = 4;
@@ -58,7 +58,7 @@
       this.#tracker.possibleRuns < route.maximumRuns &&
       // A quarantined request gets no further run in this attempt: abandoning a slow
       // trial would leave it without a result.
-      !this.#quarantine.forbidsRepeat(fingerprint)
+      !this.#quarantine.forbidsResend(fingerprint)
     );
   }
 
@@ -71,8 +71,8 @@
     if (!this.#tracker.canSend(route.maximumRuns + extra)) {
       return "may_not_run_again";
     }
-    if (this.#quarantine.forbidsRepeat(fingerprint)) return "quarantined";
-    if (remainingMilliseconds <= LEAST_USEFUL_MILLISECONDS) return "too_late";
+    if (this.#quarantine.forbidsResend(fingerprint)) return "quarantined";
+    if (remainingMilliseconds <= MINIMUM_USEFUL_MILLISECONDS) return "too_late";
     return this.#repeats < MAXIMUM_REPEATS ? undefined : "too_many_sends";
   }
 
--- a/packages/rampswitch-serving/src/relay/resend_rules_test.ts
+++ b/packages/rampswitch-serving/src/relay/resend_rules_test.ts
@@ -26,7 +26,7 @@
     clock: new ManualClock(1_000),
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
-    turn: () => ({ rank: 0, lagMilliseconds: 0 }),
+    trialRank: () => ({ rank: 0, lagMilliseconds: 0 }),
     onStoredChange: () => undefined,
   });
   const request = {
@@ -38,7 +38,10 @@
     rules: new ResendRules(request, tracker, { quarantine }),
     tracker,
     lose: (life) =>
-      quarantine.lost(fingerprint, { life, leavingSince: undefined }),
+      quarantine.recordLoss(fingerprint, {
+        incarnation: life,
+        leavingSince: undefined,
+      }),
   };
 }
 
--- a/packages/rampswitch-serving/src/relay/run_move.ts
+++ b/packages/rampswitch-serving/src/relay/run_move.ts
@@ -10,7 +10,7 @@
 import type { Result } from "true-myth";
 import type { ResendKind } from "../admission/mod.ts";
 import type { Choice, ServerRecord } from "../choice/mod.ts";
-import type { KeptMemory } from "../model/engine_control.ts";
+import type { RetainedMemory } from "../model/engine_control.ts";
 import type { ResendReason } from "../model/outcome.ts";
 import type { MemorySource } from "../model/request.ts";
 import {
@@ -24,12 +24,12 @@
   type MemoryMigrationError,
   stopAbandonedRun,
 } from "./memory_migration.ts";
-import { toldReport } from "../statements/mod.ts";
+import { readEngineReport } from "../statements/mod.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { BudgetView, NotRepeatedReason, RunRecord } from "./run_record.ts";
 
 /** Minimum time left for which a further send is worthwhile, in milliseconds. */
-export const LEAST_USEFUL_MILLISECONDS = 20;
+export const MINIMUM_USEFUL_MILLISECONDS = 20;
 
 /**
  * Share of a leaving server's drain time in which a run may resume from the
@@ -47,13 +47,13 @@
 const CLOSE_DETECTION_MILLISECONDS = 100;
 
 /** Decision of the resend budget, and the state that it was based on. */
-export interface Spending {
+export interface BudgetDecision {
   readonly granted: boolean;
   readonly view: BudgetView | undefined;
 }
 
 /** The first send after a migration continues the same run and needs no budget. */
-const NO_BUDGET_NEEDED: Spending = { granted: true, view: undefined };
+const NO_BUDGET_NEEDED: BudgetDecision = { granted: true, view: undefined };
 
 /** Whether a server is still the incarnation that issued a handle. */
 type IncarnationStatus = "same" | "later" | "not_told";
@@ -61,11 +61,11 @@
 /** Why retained memory is sent once more, and the budget's decision. */
 interface Resend {
   readonly reason: ResendReason;
-  readonly decision: Spending;
+  readonly decision: BudgetDecision;
 }
 
 /** What a migration reads from its run, and what it has the run do. */
-export interface MovableRun {
+export interface MigratableRun {
   readonly attemptId: string | undefined;
   readonly record: RunRecord;
   /** Server of the current send. */
@@ -79,7 +79,7 @@
   /** Chooses another server; asynchronous where only limited servers are left. */
   choose(): Choice | undefined | Promise<Choice | undefined>;
   /** Charges the resend budget with one send, if it allows one. */
-  spend(kind: ResendKind): Spending;
+  spend(kind: ResendKind): BudgetDecision;
   /** Notes that a resend was needed and is not made. */
   notRepeated(
     reason: ResendReason,
@@ -89,7 +89,7 @@
   /** Notes that the run stopped at its server. */
   stopped(): void;
   /** Sends the request to a server that holds its memory. */
-  sendOn(choice: Choice, memory: MemorySource): void;
+  continueAt(choice: Choice, memory: MemorySource): void;
   /** Notes that the stopped run can't resume. */
   memoryLost(reason: ResendReason): void;
   /** Notes that the run was lost while its stop was requested. */
@@ -97,8 +97,8 @@
 }
 
 /** Migrates one run, one migration at a time. */
-export class RunMove {
-  readonly #run: MovableRun;
+export class RunMigration {
+  readonly #run: MigratableRun;
   readonly #context: RequestContext;
   /** The run while it is stopped, until a server resumes it. */
   #suspended: SuspendedRun | undefined;
@@ -107,7 +107,7 @@
   #lostWhileStopping = false;
   #cancelPause: () => void = () => undefined;
 
-  constructor(run: MovableRun, context: RequestContext) {
+  constructor(run: MigratableRun, context: RequestContext) {
     this.#run = run;
     this.#context = context;
   }
@@ -118,18 +118,18 @@
   }
 
   /** Notes that the stream ended while its stop was requested. */
-  lostWhileStopping(): void {
+  noteLostWhileStopping(): void {
     this.#lostWhileStopping = true;
   }
 
   /** Migrates the run with its memory to another engine. */
-  async moveAway(): Promise<void> {
+  async migrate(): Promise<void> {
     const source = this.#run.sentTo();
     if (source === undefined || this.#migrating) return;
     this.#migrating = true;
     const outcome = await this.#migrateFrom(source);
     this.#migrating = false;
-    if (outcome === "target_ended") await this.moveAway();
+    if (outcome === "target_ended") await this.migrate();
   }
 
   async #migrateFrom(source: Choice): Promise<string | undefined> {
@@ -144,12 +144,12 @@
   }
 
   /** Resumes the run with a further send after one of the retained memory did not run. */
-  goOnAfter(reason: ResendReason): void {
+  resumeAfter(reason: ResendReason): void {
     this.#resume(reason, this.#run.spend("continuation"));
   }
 
   /** Sends the request with its retained memory to the next server that holds it. */
-  #resume(reason: ResendReason, decision: Spending): void {
+  #resume(reason: ResendReason, decision: BudgetDecision): void {
     const suspended = this.#suspended;
     const next = suspended?.next((choice) => this.#acceptsSends(choice));
     const why = this.#reasonAgainst(next, decision);
@@ -177,7 +177,7 @@
     { reason, decision }: Resend,
   ): void {
     this.#run.record.resent(reason, decision.view);
-    this.#run.sendOn(choice, suspended.memory);
+    this.#run.continueAt(choice, suspended.memory);
   }
 
   /** Sends retained memory after a pause, if its server still holds it then. */
@@ -193,7 +193,7 @@
       return;
     }
     // A server that did not answer may still be used by a later try.
-    if (status !== "not_told") this.unreachable(choice);
+    if (status !== "not_told") this.markUnreachable(choice);
     this.#skip(choice, { ...resend, status });
   }
 
@@ -237,18 +237,18 @@
     const { born } = record.entry;
     if (record.ended) return "later";
     if (born === undefined) return "same";
-    const report = await toldReport(record, this.#context);
+    const report = await readEngineReport(record, this.#context);
     if (report === undefined) return "not_told";
     return (report.born ?? born) === born ? "same" : "later";
   }
 
   /** Notes that the retained memory can no longer be used at a server. */
-  unreachable(choice: Choice): void {
+  markUnreachable(choice: Choice): void {
     this.#suspended?.markUnreachable(choice);
   }
 
   /** Notes that a server resumed the run from the retained memory. */
-  wentOn(): void {
+  resumed(): void {
     this.#suspended = undefined;
   }
 
@@ -265,7 +265,7 @@
    * Stops the run at a server that was abandoned for another one. If the network
    * path is broken, the server does not detect that the connection was closed.
    */
-  stopLeft(abandoned: ServerRecord, next: ServerRecord): void {
+  stopAbandoned(abandoned: ServerRecord, next: ServerRecord): void {
     this.#context.clock.after(
       CLOSE_DETECTION_MILLISECONDS,
       () => void this.#stopAbandoned(abandoned, next),
@@ -340,7 +340,7 @@
   }
 
   #suspend(
-    { handle, copied }: KeptMemory,
+    { handle, copied }: RetainedMemory,
     { target, source }: { readonly target: Choice; readonly source: Choice },
   ): void {
     this.#suspended = new SuspendedRun(
@@ -352,7 +352,7 @@
   /** The reason against sending retained memory to the next server, if any. */
   #reasonAgainst(
     next: Continuation | undefined,
-    { granted }: Spending,
+    { granted }: BudgetDecision,
   ): NotRepeatedReason | undefined {
     if (next === undefined) {
       return this.#suspended?.exhausted === true
@@ -360,7 +360,7 @@
         : "no_server";
     }
     const millisecondsLeft = this.#run.remaining() - next.waitMilliseconds;
-    if (millisecondsLeft <= LEAST_USEFUL_MILLISECONDS) return "too_late";
+    if (millisecondsLeft <= MINIMUM_USEFUL_MILLISECONDS) return "too_late";
     return granted ? undefined : "budget_spent";
   }
 
@@ -371,7 +371,7 @@
   #acceptsSends({ record }: Choice): boolean {
     if (record.ended || !record.isReadable) return false;
     const now = this.#context.clock.now();
-    if (record.rest.holds(now)) return false;
+    if (record.backOff.isActive(now)) return false;
     const since = now - (record.leavingSince ?? Infinity);
     return since < USABLE_DRAIN_SHARE * this.#context.drainMilliseconds();
   }
@@ -398,7 +398,9 @@
   }
 }
 
-function outcomeOf(outcome: Result<KeptMemory, MemoryMigrationError>): string {
+function outcomeOf(
+  outcome: Result<RetainedMemory, MemoryMigrationError>,
+): string {
   if (outcome.isErr) return outcome.error;
   return outcome.value.copied ? "moved" : "stopped_without_copy";
 }
--- a/packages/rampswitch-serving/src/relay/run_move_test.ts
+++ b/packages/rampswitch-serving/src/relay/run_move_test.ts
@@ -13,7 +13,7 @@
 import type { BackendServer } from "../model/backend_server.ts";
 import type {
   EngineControl,
-  KeptMemory,
+  RetainedMemory,
   MemoryCopy,
   MemoryCopyError,
 } from "../model/engine_control.ts";
@@ -21,11 +21,11 @@
 import { ServingMetrics } from "../observation/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { RequestContext } from "./request_context.ts";
-import { type MovableRun, RunMove } from "./run_move.ts";
+import { type MigratableRun, RunMigration } from "./run_move.ts";
 import { RunRecord } from "./run_record.ts";
 import {
-  SAYS_NOTHING,
-  silentStatements,
+  NOTHING_ADVERTISED,
+  ignoringAdvertisementReader,
 } from "../statements/statements_standin.ts";
 
 // The memory of a run that was stopped for a migration is named by a handle of the
@@ -124,7 +124,7 @@
   );
   /** Uses of handles that must never happen. */
   readonly wrong: string[] = [];
-  readonly migration: RunMove;
+  readonly migration: RunMigration;
   sentOn = 0;
   #current: Choice | undefined;
   #ended = false;
@@ -143,11 +143,11 @@
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
       engineControl: this,
-      statements: silentStatements(),
+      statements: ignoringAdvertisementReader(),
       drainMilliseconds: () => DRAIN_MILLISECONDS,
       began: () => undefined,
     } as unknown as RequestContext;
-    this.migration = new RunMove(this.#run(parts), parts);
+    this.migration = new RunMigration(this.#run(parts), parts);
     this.#begin();
   }
 
@@ -161,7 +161,7 @@
     if (server !== undefined && this.#draws(SHARES.restarts)) {
       this.#restart(server);
     }
-    if (this.#draws(SHARES.migrations)) void this.migration.moveAway();
+    if (this.#draws(SHARES.migrations)) void this.migration.migrate();
     this.clock.advance(this.#random.below(STEP_MILLISECONDS));
   }
 
@@ -169,15 +169,15 @@
     const { born } = this.#at(address);
     const report = {
       born,
-      leavesMilliseconds: undefined,
-      says: SAYS_NOTHING,
+      endsInMilliseconds: undefined,
+      advertised: NOTHING_ADVERTISED,
     };
     return Promise.resolve(this.#draws(SHARES.silent) ? undefined : report);
   }
 
   async copyMemory(
     copy: MemoryCopy,
-  ): Promise<Result<KeptMemory, MemoryCopyError>> {
+  ): Promise<Result<RetainedMemory, MemoryCopyError>> {
     const source = this.#at(copy.from);
     const { born } = source;
     const here = this.#runsAt?.server === source && this.#runsAt.born === born;
@@ -204,7 +204,7 @@
     return Promise.resolve(retained.delete(handle));
   }
 
-  #run(parts: RequestContext): MovableRun {
+  #run(parts: RequestContext): MigratableRun {
     const request = {
       head: { attemptId: OWN },
       service: { name: "models" },
@@ -222,7 +222,7 @@
       stopped: () => {
         this.#current = undefined;
       },
-      sendOn: (choice, memory) => this.#sendOn(choice, memory),
+      continueAt: (choice, memory) => this.#sendOn(choice, memory),
       memoryLost: () => this.#end(),
       lost: () => this.#end(),
     };
@@ -251,12 +251,12 @@
     if (of === OTHER) this.wrong.push("resumed from another request's memory");
     this.clock.after(1, () => {
       if (of === OWN) {
-        this.migration.wentOn();
+        this.migration.resumed();
         this.#startRun(choice);
         return;
       }
       this.#current = undefined;
-      this.migration.goOnAfter("rejected");
+      this.migration.resumeAfter("rejected");
     });
   }
 
@@ -272,7 +272,7 @@
 
   #detectRestart(former: ServerRecord): void {
     if (this.#current?.record !== former) return;
-    if (this.migration.stopping) this.migration.lostWhileStopping();
+    if (this.migration.stopping) this.migration.noteLostWhileStopping();
     else this.#end();
   }
 
@@ -293,7 +293,7 @@
       : {
           record,
           predictedMilliseconds: 0,
-          keptTokens: 0,
+          cachedTokens: 0,
           copyFrom: undefined,
           load: 0,
         };
@@ -364,12 +364,12 @@
     service: { name: "models" },
   } as AdmittedRequest;
   const record = new ServerRecord(entry);
-  const migration = new RunMove(
+  const migration = new RunMigration(
     {
       attemptId: OWN,
       record: new RunRecord(request, parts),
       sentTo: () => ({ record }) as Choice,
-    } as MovableRun,
+    } as MigratableRun,
     parts,
   );
   return { clock, stops, record, migration };
@@ -381,7 +381,7 @@
 
   test("is requested at the server that was abandoned", async () => {
     const run = runAt(next);
-    run.migration.stopLeft(abandoned, run.record);
+    run.migration.stopAbandoned(abandoned, run.record);
     run.clock.advance(COPY_MILLISECONDS * 2);
     await settled();
     expect(run.stops.map(({ from }) => from)).toEqual([
@@ -392,7 +392,7 @@
   test("is not requested if the run continues at that address", async () => {
     // The address of a server that is gone may be given to another one.
     const run = runAt({ ...next, address: abandoned.entry.address });
-    run.migration.stopLeft(abandoned, run.record);
+    run.migration.stopAbandoned(abandoned, run.record);
     run.clock.advance(COPY_MILLISECONDS * 2);
     await settled();
     expect(run.stops).toEqual([]);
--- a/packages/rampswitch-serving/src/relay/run_record.ts
+++ b/packages/rampswitch-serving/src/relay/run_record.ts
@@ -6,13 +6,13 @@
  *
  * @module
  */
-import type { ResendState } from "../admission/mod.ts";
+import type { ResendBudgetState } from "../admission/mod.ts";
 import type { ServerRecord } from "../choice/mod.ts";
 import type { ResendReason } from "../model/outcome.ts";
 import type { SentRequest } from "../rollout/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { RequestContext } from "./request_context.ts";
-import type { ServerLife } from "../model/backend_server.ts";
+import type { ServerIncarnation } from "../model/backend_server.ts";
 import { incarnationOf, startTimesOf } from "./server_incarnation.ts";
 
 /** Reasons why a resend that was needed is not made. */
@@ -30,7 +30,7 @@
 export type NotRepeatedReason = (typeof NOT_REPEATED_REASONS)[number];
 
 /** State of the resend budget at a decision; this host's part alone. */
-export interface BudgetView extends ResendState {
+export interface BudgetView extends ResendBudgetState {
   /** Hosts in the list of hosts; `undefined` before the list was read. */
   readonly hosts: number | undefined;
 }
@@ -73,7 +73,7 @@
 
 /** The newest send of a request. */
 interface LastSend {
-  readonly server: ServerLife;
+  readonly server: ServerIncarnation;
   readonly sentAt: number;
   readonly continues: boolean;
 }
@@ -82,7 +82,7 @@
 export class RunRecord {
   readonly #request: AdmittedRequest;
   readonly #context: RecordParts;
-  readonly #servers: ServerLife[] = [];
+  readonly #servers: ServerIncarnation[] = [];
   readonly #reasons: ResendReason[] = [];
   #began = false;
   #firstPartAt: number | undefined;
@@ -191,7 +191,7 @@
   firstPart(failed = false): void {
     this.#answered(failed);
     this.#firstPartAt ??= this.#context.clock.now();
-    this.#context.metrics.firstPart(
+    this.#context.metrics.firstPartTime(
       this.#firstPartAt - this.#request.arrivedAt,
     );
   }
@@ -309,7 +309,7 @@
     const request = this.#request;
     const milliseconds = this.#context.clock.now() - request.arrivedAt;
     this.#context.metrics.outcome(outcome);
-    this.#context.metrics.whole(milliseconds);
+    this.#context.metrics.answerTime(milliseconds);
     this.#context.logger.info("request ended", {
       request: request.head.attemptId,
       outcome,
--- a/packages/rampswitch-serving/src/relay/run_record_test.ts
+++ b/packages/rampswitch-serving/src/relay/run_record_test.ts
@@ -4,7 +4,7 @@
 import { type LogFields, ManualClock, SILENT_LOGGER } from "rampswitch-utils";
 import { ServerRecord } from "../choice/mod.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { loneRollouts } from "../rollout/rollout_standin.ts";
+import { singleHostRollouts } from "../rollout/rollout_standin.ts";
 import { Fingerprint } from "../quarantine/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import {
@@ -109,7 +109,7 @@
       metrics,
       logger,
       began,
-      rollouts: loneRollouts(),
+      rollouts: singleHostRollouts(),
     }),
     clock,
     lines,
--- a/packages/rampswitch-serving/src/relay/send_choice.ts
+++ b/packages/rampswitch-serving/src/relay/send_choice.ts
@@ -11,7 +11,7 @@
   type ChoiceOutcome,
   chooseServer,
   type ServerRecord,
-  shareWithPlaces,
+  admittedShare,
 } from "../choice/mod.ts";
 import type { VersionChoice } from "../rollout/mod.ts";
 import { type AdmittedRequest, promptTokens } from "./admitted_request.ts";
@@ -72,7 +72,7 @@
   const isFirst = send.tried.size === 0;
   if (isFirst && allBackOff(versions, send.now)) return ALL_BACK_OFF;
   if (isFirst && !getsSlot(versions, send.request, context)) return NO_CAPACITY;
-  const { first, otherwise } = versions;
+  const { first, fallback: otherwise } = versions;
   const outcome = chooseAmong(first, send, context);
   return outcome.kind === "chosen" || otherwise === undefined
     ? outcome
@@ -81,23 +81,23 @@
 
 /** Whether all ready servers have asked for a back-off, so that none takes requests. */
 function allBackOff(
-  { first, otherwise = [] }: VersionChoice,
+  { first, fallback: otherwise = [] }: VersionChoice,
   now: number,
 ): boolean {
-  const isAvailable = ({ isReady, rest }: ServerRecord) =>
-    isReady && !rest.holds(now);
+  const isAvailable = ({ isReady, backOff: rest }: ServerRecord) =>
+    isReady && !rest.isActive(now);
   // This is cheap: in nearly all cases the first server already decides.
   if (first.some(isAvailable) || otherwise.some(isAvailable)) return false;
   return [...first, ...otherwise].some(({ isReady }) => isReady);
 }
 
 function withoutLimited(
-  { first, otherwise }: VersionChoice,
-  { turns: permits }: RequestContext,
+  { first, fallback: otherwise }: VersionChoice,
+  { permits }: RequestContext,
 ): VersionChoice {
   return {
     first: permits.unlimited(first),
-    otherwise:
+    fallback:
       otherwise === undefined ? undefined : permits.unlimited(otherwise),
   };
 }
@@ -107,19 +107,19 @@
  * queue at a limited server, so it needs a free slot.
  */
 function withPermits(
-  { first, otherwise = [] }: VersionChoice,
+  { first, fallback: otherwise = [] }: VersionChoice,
   { request, tried, now }: SendQuery,
   context: RequestContext,
 ): readonly ServerRecord[] {
-  const { turns: permits } = context;
+  const { permits } = context;
   const limited = [...permits.limited(first), ...permits.limited(otherwise)];
   if (limited.length === 0) return limited;
   context.metrics.event("limited_servers_left_out");
   const connections = ownConnections(request.service, context.hosts());
   return limited
     .filter((record) => record.isReady && !record.isEjected(now))
-    .filter(({ rest }) => rest.takes(now))
-    .filter((record) => !tried.has(record.life))
+    .filter(({ backOff: rest }) => rest.allowsSend(now))
+    .filter((record) => !tried.has(record.incarnation))
     .filter((record) => record.load(now) < record.entry.slots)
     .filter((record) => record.ownRunning < connections)
     .toSorted((left, right) => left.load(now) - right.load(now));
@@ -131,7 +131,7 @@
  * resend is never refused here.
  */
 function getsSlot(
-  { first, otherwise = [] }: VersionChoice,
+  { first, fallback: otherwise = [] }: VersionChoice,
   request: AdmittedRequest,
   context: RequestContext,
 ): boolean {
@@ -139,7 +139,7 @@
   if (service.engine === undefined) return true;
   const now = context.clock.now();
   const leavingMilliseconds = leavingWindowMilliseconds(request, context);
-  const totals = context.places.of(service.name, now, () =>
+  const totals = context.slotTotals.of(service.name, now, () =>
     [...first, ...otherwise]
       .filter((record) => acceptsRequests(record, now, leavingMilliseconds))
       .map((record) => ({
@@ -147,12 +147,12 @@
         load: record.load(now),
       })),
   );
-  const share = shareWithPlaces(totals, {
+  const share = admittedShare(totals, {
     arrivalsPerMillisecond:
-      context.arrivalRates.noted(service.name, now) * context.hosts(),
+      context.arrivalRates.addArrival(service.name, now) * context.hosts(),
     holdMilliseconds: context.holdTimes.of(service.name),
     targetMilliseconds: route.targetMilliseconds,
-    lagMilliseconds: context.newsLagMilliseconds(),
+    lagMilliseconds: context.gossipLagMilliseconds(),
   });
   context.metrics.gauge("share_with_places", share);
   return share >= 1 || context.random.next() < share;
@@ -165,7 +165,7 @@
   leavingMilliseconds: number,
 ): boolean {
   const leftFor = now - (record.leavingSince ?? -Infinity);
-  if (record.rest.holds(now)) return false;
+  if (record.backOff.isActive(now)) return false;
   return record.isReady
     ? !record.isEjected(now)
     : leftFor < leavingMilliseconds;
@@ -204,14 +204,14 @@
     promptTokens: promptTokens(request.head),
     readingRate: readingRates.of(name),
     excluded: tried,
-    ownConnections: ownConnections(request.service, context.hosts()),
-    leavingMilliseconds: leavingWindowMilliseconds(request, context),
-    hearsDispatches: context.hearsDispatches(),
+    maximumOwnRequests: ownConnections(request.service, context.hosts()),
+    leavingGraceMilliseconds: leavingWindowMilliseconds(request, context),
+    receivesDispatches: context.receivesDispatches(),
     draw: () => context.random.next(),
   });
 }
 
 /** Whether a request ends, or can migrate, before a leaving server ends. */
 function endsBeforeServer({ route, service }: AdmittedRequest): boolean {
-  return !route.streaming || (service.engine?.movable ?? false);
+  return !route.streaming || (service.engine?.migratable ?? false);
 }
--- a/packages/rampswitch-serving/src/relay/send_chooser.ts
+++ b/packages/rampswitch-serving/src/relay/send_chooser.ts
@@ -71,7 +71,7 @@
       this.#chooseOrTakePermit(choice, listener);
       return;
     }
-    const overdue = this.#context.turns.unheard(limited);
+    const overdue = this.#context.permits.withoutRecentReport(limited);
     const send = { request: this.#run.request, limited };
     const probe = chooseProbe(send, this.#context);
     if (probe !== undefined) listener.chosen(probe);
@@ -100,7 +100,8 @@
   canContinueAt(choice: Choice): boolean | Promise<boolean> {
     const hasPermit = this.#permittedChoice === choice;
     this.#permittedChoice = undefined;
-    const isLimited = this.#context.turns.limitOf(choice.record) !== undefined;
+    const isLimited =
+      this.#context.permits.limitOf(choice.record) !== undefined;
     return hasPermit || !isLimited || this.#waitForPermit(choice.record, 0);
   }
 
--- a/packages/rampswitch-serving/src/relay/server_incarnation.ts
+++ b/packages/rampswitch-serving/src/relay/server_incarnation.ts
@@ -7,17 +7,17 @@
  * @module
  */
 import type { ServerRecord } from "../choice/mod.ts";
-import type { ServerLife } from "../model/backend_server.ts";
+import type { ServerIncarnation } from "../model/backend_server.ts";
 
 /** The incarnation that a server's entry shows now. */
-export function incarnationOf({ entry }: ServerRecord): ServerLife {
-  const { id, born }: ServerLife = entry;
+export function incarnationOf({ entry }: ServerRecord): ServerIncarnation {
+  const { id, born }: ServerIncarnation = entry;
   return { id, born };
 }
 
 /** Start times of incarnations, separated by commas; `undefined` if none is known. */
 export function startTimesOf(
-  incarnations: readonly ServerLife[],
+  incarnations: readonly ServerIncarnation[],
 ): string | undefined {
   return incarnations.some(({ born }) => born !== undefined)
     ? incarnations.map(({ born }) => born ?? "").join(",")
--- a/packages/rampswitch-serving/src/relay/suspended_run_test.ts
+++ b/packages/rampswitch-serving/src/relay/suspended_run_test.ts
@@ -19,7 +19,7 @@
       born: undefined,
     }),
     predictedMilliseconds: 0,
-    keptTokens: 0,
+    cachedTokens: 0,
     copyFrom: undefined,
     load: 0,
   };
--- a/packages/rampswitch-serving/src/rollout/mod.ts
+++ b/packages/rampswitch-serving/src/rollout/mod.ts
@@ -8,15 +8,15 @@
  */
 export type {
   ExposureTerms,
-  RolloutOrder,
-  RolloutOrders,
+  RolloutSpec as RolloutOrder,
+  RolloutSpecAdapter as RolloutOrders,
   StoredRollout,
   StoredRolloutState,
 } from "./rollout_spec.ts";
 export type {
-  RolloutNews,
+  RolloutUpdate as RolloutNews,
   RolloutProgress as RolloutWork,
-  SentRequest,
+  SendObserver as SentRequest,
 } from "./rollout.ts";
 export { type DueState, Rollouts, type VersionChoice } from "./rollouts.ts";
 export {
@@ -26,10 +26,10 @@
   type VersionCounts,
 } from "./version_counts.ts";
 export {
-  type Judge,
-  type JudgedStep,
+  type Evaluator as Judge,
+  type EvaluatedStep as JudgedStep,
   type VersionEvidence,
   type VersionFault,
-  VersionJudge,
+  VersionEvaluator as VersionJudge,
 } from "./version_evaluator.ts";
 export { RolloutStore } from "./rollout_store.ts";
--- a/packages/rampswitch-serving/src/rollout/rollout.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout.ts
@@ -10,7 +10,7 @@
 import { type CanaryLimits, ExposureBudget } from "./exposure_budget.ts";
 import type {
   ExposureTerms,
-  RolloutOrder,
+  RolloutSpec,
   RolloutPhase,
   StoredRolloutState,
 } from "./rollout_spec.ts";
@@ -21,14 +21,14 @@
   withAnswer,
 } from "./version_counts.ts";
 import type {
-  Judge,
+  Evaluator,
   VersionEvidence,
   VersionFault,
 } from "./version_evaluator.ts";
 
 /** An update about a roll-out, sent between hosts by gossip. */
-export interface RolloutNews {
-  readonly order: RolloutOrder;
+export interface RolloutUpdate {
+  readonly spec: RolloutSpec;
   /** Versions that the service's traffic is shifted away from. */
   readonly baseline: readonly string[];
   /** Newest version of the spec's entry in the store that the sender knows. */
@@ -37,7 +37,7 @@
   readonly remainingMilliseconds: number;
   readonly phase: RolloutPhase;
   /** Progress of the sending host itself; `undefined` from relays. */
-  readonly own: RolloutProgress | undefined;
+  readonly senderProgress: RolloutProgress | undefined;
 }
 
 /** The progress of one host in a roll-out. */
@@ -46,7 +46,7 @@
    * Whether the host has no request at servers of the baseline and will send
    * none.
    */
-  readonly hasMoved: boolean;
+  readonly hasLeftBaseline: boolean;
   readonly counts: VersionCounts;
   /** Requests that wait for an answer of the target version, by time waited. */
   readonly waiting: VersionCounts;
@@ -61,7 +61,7 @@
 }
 
 /** Receives the outcome of a request that was sent. */
-export interface SentRequest {
+export interface SendObserver {
   /** The answer began to arrive or is a failure; only the first call counts. */
   answered(answer: { readonly failed: boolean; readonly now: number }): void;
   /** The request ended without an answer that counts for its version. */
@@ -70,7 +70,7 @@
 
 /** What a roll-out starts with on a host. */
 export interface RolloutOptions {
-  readonly spec: RolloutOrder;
+  readonly spec: RolloutSpec;
   readonly baseline: readonly string[];
   readonly storeVersion: number;
   readonly remainingMilliseconds: number;
@@ -82,7 +82,7 @@
    * slack.
    */
   readonly stagger: number;
-  readonly evaluator: Judge;
+  readonly evaluator: Evaluator;
   readonly now: number;
 }
 
@@ -167,13 +167,13 @@
 
 /** One roll-out on one host. */
 export class Rollout {
-  readonly spec: RolloutOrder;
+  readonly spec: RolloutSpec;
   readonly baseline: readonly string[];
   readonly deadlineAt: number;
   readonly budget: ExposureBudget;
-  readonly #evaluator: Judge;
+  readonly #evaluator: Evaluator;
   readonly #terms: ExposureTerms;
-  readonly #peers = new Map<string, RolloutNews>();
+  readonly #peers = new Map<string, RolloutUpdate>();
   readonly #waiting = new Set<VersionSend>();
   #storeVersion: number;
   #stored: StoredRolloutState | undefined;
@@ -225,7 +225,9 @@
 
   /** The known answers of the whole fleet. */
   evidence(now: number): VersionEvidence {
-    const reported = [...this.#peers.values()].flatMap(({ own }) => own ?? []);
+    const reported = [...this.#peers.values()].flatMap(
+      ({ senderProgress: own }) => own ?? [],
+    );
     return {
       counts: sumOf([this.#counts, ...reported.map(({ counts }) => counts)]),
       waiting: sumOf([
@@ -309,7 +311,7 @@
   }
 
   /** Counts a send; the returned object receives its outcome. */
-  sent(send: VersionSend): SentRequest {
+  sent(send: VersionSend): SendObserver {
     const isTarget = send.arm === "target";
     this.budget.recordSend(isTarget);
     if (isTarget && !this.isOver) this.#waiting.add(send);
@@ -342,8 +344,8 @@
   /**
    * Applies an update of another host; `incarnation` is `undefined` for relays.
    */
-  receive(update: RolloutNews, incarnation: string | undefined): void {
-    if (update.order.toVersion !== this.spec.toVersion) return;
+  receive(update: RolloutUpdate, incarnation: string | undefined): void {
+    if (update.spec.toVersion !== this.spec.toVersion) return;
     if (incarnation !== undefined) this.#peers.set(incarnation, update);
     this.#storeVersion = Math.max(this.#storeVersion, update.storeVersion);
     this.#enter(update.phase, "told");
@@ -375,18 +377,18 @@
   }
 
   /** The update for other hosts; `running` is `undefined` on relays. */
-  updateAt(now: number, running: number | undefined): RolloutNews {
+  updateAt(now: number, running: number | undefined): RolloutUpdate {
     return {
-      order: this.spec,
+      spec: this.spec,
       baseline: this.baseline,
       storeVersion: this.#storeVersion,
       remainingMilliseconds: this.deadlineAt - now,
       phase: this.#phase,
-      own:
+      senderProgress:
         running === undefined
           ? undefined
           : {
-              hasMoved: this.hasLeftBaseline(now, running),
+              hasLeftBaseline: this.hasLeftBaseline(now, running),
               counts: this.#counts,
               waiting: this.#waitingAt(now),
             },
@@ -471,7 +473,10 @@
 
   #hasPeerLeftBaseline(incarnation: string): boolean {
     const reported = this.#peers.get(incarnation);
-    return reported?.phase === "promoting" && reported.own?.hasMoved === true;
+    return (
+      reported?.phase === "promoting" &&
+      reported.senderProgress?.hasLeftBaseline === true
+    );
   }
 
   #hasTargetCapacity({ ready }: RolloutView): boolean {
--- a/packages/rampswitch-serving/src/rollout/rollout_spec.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_spec.ts
@@ -9,7 +9,7 @@
 import type { StoredObject, StoreError } from "rampswitch-store";
 
 /** Asks for a service's traffic to be shifted to servers of another version. */
-export interface RolloutOrder {
+export interface RolloutSpec {
   readonly service: string;
   readonly toVersion: string;
   /** Time within which the roll-out has to end, in milliseconds. */
@@ -21,7 +21,7 @@
 
 /** A roll-out spec and its state, as they are stored. */
 export interface StoredRollout {
-  readonly order: RolloutOrder;
+  readonly spec: RolloutSpec;
   /** `undefined` if no state was stored for this spec yet. */
   readonly state: StoredRolloutState | undefined;
 }
@@ -34,7 +34,7 @@
 export type RolloutPhase = "canary" | "promoting" | "completed" | "rolled_back";
 
 /** Decodes roll-out specs, and stores their states. */
-export interface RolloutOrders {
+export interface RolloutSpecAdapter {
   /** Prefix of the specs' keys in the store. */
   readonly prefix: string;
   /** Decodes a spec; an error is the reason why it can't be decoded. */
@@ -44,7 +44,7 @@
    * entry.
    */
   storeState(
-    spec: RolloutOrder,
+    spec: RolloutSpec,
     state: StoredRolloutState,
     version: number,
   ): Promise<Result<StoredObject, StoreError>>;
--- a/packages/rampswitch-serving/src/rollout/rollout_standin.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_standin.ts
@@ -9,18 +9,20 @@
 import { ServerDirectory } from "../choice/mod.ts";
 import { ServingMetrics } from "../observation/mod.ts";
 import { Rollouts } from "./rollouts.ts";
-import { VersionJudge } from "./version_evaluator.ts";
+import { VersionEvaluator } from "./version_evaluator.ts";
 
 /** Roll-outs of a fleet of one host. */
-export function loneRollouts(directory = new ServerDirectory()): Rollouts {
+export function singleHostRollouts(
+  directory = new ServerDirectory(),
+): Rollouts {
   return new Rollouts(
     {
       directory,
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
       terms: () => ({ share: 0.1, slack: 0 }),
-      place: () => ({ rank: 0, hosts: 1 }),
-      judge: () => new VersionJudge(),
+      fleetPosition: () => ({ rank: 0, hosts: 1 }),
+      createEvaluator: () => new VersionEvaluator(),
       onPromoting: () => undefined,
       onUnknownVersion: () => undefined,
     },
@@ -29,7 +31,7 @@
 }
 
 /** A roll-out store without specs. */
-export const NO_ROLLOUT_STORE = {
+export const EMPTY_ROLLOUT_STORE = {
   follow: () => undefined,
   store: () => Promise.resolve(),
 };
--- a/packages/rampswitch-serving/src/rollout/rollout_store.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store.ts
@@ -17,13 +17,13 @@
 } from "rampswitch-utils";
 import { type ObjectStore, type StoredObject, Watcher } from "rampswitch-store";
 import type { ServingMetrics } from "../observation/mod.ts";
-import type { RolloutOrders } from "./rollout_spec.ts";
+import type { RolloutSpecAdapter } from "./rollout_spec.ts";
 import type { DueState, Rollouts } from "./rollouts.ts";
 
 /** What the roll-out store depends on. */
 export interface RolloutStoreParts {
   readonly rollouts: Rollouts;
-  readonly orders: RolloutOrders;
+  readonly adapter: RolloutSpecAdapter;
   readonly store: ObjectStore;
   /** A monotonic clock. */
   readonly clock: Clock;
@@ -33,7 +33,7 @@
   /** Whether this host may act for the fleet now. */
   holdsDuties(): boolean;
   /** Whether this host receives specs from other hosts. */
-  hearsOrders(): boolean;
+  receivesSpecs(): boolean;
 }
 
 /**
@@ -61,7 +61,7 @@
 
   constructor(parts: RolloutStoreParts) {
     this.#parts = parts;
-    const { store, orders: adapter, clock, random } = parts;
+    const { store, adapter, clock, random } = parts;
     this.#watcher = new Watcher(store, adapter.prefix, {
       clock,
       random,
@@ -113,28 +113,28 @@
   }
 
   #readInterval(): number {
-    return Number.isFinite(this.#parts.rollouts.holdingSince)
+    return Number.isFinite(this.#parts.rollouts.heldBackSince)
       ? RETRY_INTERVAL_MILLISECONDS
       : IDLE_INTERVAL_MILLISECONDS;
   }
 
   async #readSpecs(): Promise<void> {
-    const { rollouts, store, orders: adapter, clock, metrics } = this.#parts;
-    const heldBackFor = clock.now() - rollouts.holdingSince;
+    const { rollouts, store, adapter, clock, metrics } = this.#parts;
+    const heldBackFor = clock.now() - rollouts.heldBackSince;
     const canStillReceive =
-      this.#parts.hearsOrders() && heldBackFor < GOSSIP_WAIT_MILLISECONDS;
-    if (!Number.isFinite(rollouts.holdingSince) || canStillReceive) return;
+      this.#parts.receivesSpecs() && heldBackFor < GOSSIP_WAIT_MILLISECONDS;
+    if (!Number.isFinite(rollouts.heldBackSince) || canStillReceive) return;
     const listed = await store.list(adapter.prefix);
     if (listed.isErr) {
       metrics.event("rollout_orders_unread");
       return;
     }
     listed.value.objects.forEach((object) => this.#apply(object));
-    rollouts.read();
+    rollouts.specsRead();
   }
 
   #apply(object: StoredObject): void {
-    const { rollouts, orders: adapter, clock, logger, metrics } = this.#parts;
+    const { rollouts, adapter, clock, logger, metrics } = this.#parts;
     // A delayed answer may hold an older version of the spec.
     if ((this.#versions.get(object.key) ?? 0) > object.version) return;
     this.#versions.set(object.key, object.version);
@@ -152,8 +152,8 @@
     });
   }
 
-  async #store({ order: spec, state, storeVersion }: DueState): Promise<void> {
-    const { orders: adapter, logger, metrics } = this.#parts;
+  async #store({ spec, state, storeVersion }: DueState): Promise<void> {
+    const { adapter, logger, metrics } = this.#parts;
     const put = await adapter.storeState(spec, state, storeVersion);
     const outcome = put.isOk ? "stored" : put.error.kind;
     metrics.event(`rollout_state_${outcome}`);
@@ -170,6 +170,6 @@
   }
 
   #serviceOf(key: string): string {
-    return key.slice(this.#parts.orders.prefix.length);
+    return key.slice(this.#parts.adapter.prefix.length);
   }
 }
--- a/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store_test.ts
@@ -5,8 +5,8 @@
 import { ManualClock, seededRandom, SILENT_LOGGER } from "rampswitch-utils";
 import type { ObjectStore, StoredObject, StoreError } from "rampswitch-store";
 import { ServingMetrics } from "../observation/mod.ts";
-import type { RolloutOrders, StoredRolloutState } from "./rollout_spec.ts";
-import { loneRollouts } from "./rollout_standin.ts";
+import type { RolloutSpecAdapter, StoredRolloutState } from "./rollout_spec.ts";
+import { singleHostRollouts } from "./rollout_standin.ts";
 import { RolloutStore } from "./rollout_store.ts";
 import type { Rollouts } from "./rollouts.ts";
 
@@ -21,7 +21,7 @@
 /** A store with one spec, which may lose answers. */
 class Fixture implements AsyncDisposable {
   readonly clock = new ManualClock(100_000);
-  readonly rollouts: Rollouts = loneRollouts();
+  readonly rollouts: Rollouts = singleHostRollouts();
   readonly stored: StoredRolloutState[] = [];
   lists = 0;
   version = 5;
@@ -32,13 +32,13 @@
   constructor() {
     this.#store = new RolloutStore({
       rollouts: this.rollouts,
-      orders: this.#adapter(),
+      adapter: this.#adapter(),
       store: this.#objects(),
       clock: this.clock,
       random: seededRandom(1),
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
-      hearsOrders: () => false,
+      receivesSpecs: () => false,
       holdsDuties: () => this.isHolder,
     });
   }
@@ -61,12 +61,12 @@
     return { key: KEY, version: this.version, value: JSON.stringify(state) };
   }
 
-  #adapter(): RolloutOrders {
+  #adapter(): RolloutSpecAdapter {
     return {
       prefix: "rollouts/",
       decode: (_, value) =>
         Result.ok({
-          order: SPEC,
+          spec: SPEC,
           state: (JSON.parse(value) as StoredRolloutState | null) ?? undefined,
         }),
       storeState: (_, state, version) => {
@@ -119,13 +119,15 @@
     fixture.store.follow();
     await fixture.pass(200);
     expect(fixture.lists).toBe(1);
-    expect(fixture.rollouts.news(fixture.clock.now())[0]?.order).toEqual(SPEC);
+    expect(fixture.rollouts.updates(fixture.clock.now())[0]?.spec).toEqual(
+      SPEC,
+    );
   });
 
   test("a state is neither stored twice nor forgotten if the answer is lost", async () => {
     await using fixture = new Fixture();
     fixture.rollouts.stored(
-      { order: SPEC, state: undefined },
+      { spec: SPEC, state: undefined },
       fixture.version,
       fixture.clock.now(),
     );
--- a/packages/rampswitch-serving/src/rollout/rollout_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_test.ts
@@ -2,8 +2,8 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { Rollout, type RolloutNews, type RolloutView } from "./rollout.ts";
-import type { Judge, VersionFault } from "./version_evaluator.ts";
+import { Rollout, type RolloutUpdate, type RolloutView } from "./rollout.ts";
+import type { Evaluator, VersionFault } from "./version_evaluator.ts";
 
 const SPEC = {
   service: "models",
@@ -21,7 +21,7 @@
   state: EvaluatorState,
   baseline: readonly string[] = ["v1"],
 ): Rollout {
-  const evaluator: Judge = {
+  const evaluator: Evaluator = {
     observe: () => undefined,
     get fault() {
       return state.fault;
@@ -51,21 +51,21 @@
   };
 }
 
-function updateOf(update: Partial<RolloutNews>): RolloutNews {
+function updateOf(update: Partial<RolloutUpdate>): RolloutUpdate {
   return {
-    order: SPEC,
+    spec: SPEC,
     baseline: ["v1"],
     storeVersion: 5,
     remainingMilliseconds: 900,
     phase: "canary",
-    own: { hasMoved: false, counts: {}, waiting: {} },
+    senderProgress: { hasLeftBaseline: false, counts: {}, waiting: {} },
     ...update,
   };
 }
 
 const HAS_LEFT_BASELINE = updateOf({
   phase: "promoting",
-  own: { hasMoved: true, counts: {}, waiting: {} },
+  senderProgress: { hasLeftBaseline: true, counts: {}, waiting: {} },
 });
 
 const FAULT: VersionFault = {
--- a/packages/rampswitch-serving/src/rollout/rollouts.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts.ts
@@ -11,19 +11,19 @@
 import { type FleetPosition, slackOfHost } from "./exposure_budget.ts";
 import {
   Rollout,
-  type RolloutNews,
+  type RolloutUpdate,
   type RolloutView,
-  type SentRequest,
+  type SendObserver,
 } from "./rollout.ts";
 import { type RolloutLogParts, RolloutLog } from "./rollout_log.ts";
 import type {
   ExposureTerms,
-  RolloutOrder,
+  RolloutSpec,
   StoredRollout,
   StoredRolloutState,
 } from "./rollout_spec.ts";
 import type { VersionArm } from "./version_counts.ts";
-import type { Judge } from "./version_evaluator.ts";
+import type { Evaluator } from "./version_evaluator.ts";
 import {
   canaryServers,
   serversOfMostCommonVersion,
@@ -37,14 +37,14 @@
   /**
    * The position of this host in an order of all hosts that depends on a key.
    */
-  place(key: string): FleetPosition;
+  fleetPosition(key: string): FleetPosition;
   /**
    * Called when a promotion begins. Its progress has to be checked by
-   * {@link Rollouts.leaving} until the promotion ends.
+   * {@link Rollouts.promotionProgress} until the promotion ends.
    */
   onPromoting(): void;
   /** Creates the evaluator of one roll-out. */
-  judge(): Judge;
+  createEvaluator(): Evaluator;
   /** Called when the specs have to be read before a version gets requests. */
   onUnknownVersion(): void;
 }
@@ -58,12 +58,12 @@
 /** Servers to choose from: the preferred ones, and the fallback. */
 export interface VersionChoice {
   readonly first: readonly ServerRecord[];
-  readonly otherwise: readonly ServerRecord[] | undefined;
+  readonly fallback: readonly ServerRecord[] | undefined;
 }
 
 /** A state that the duty holder has to store. */
 export interface DueState {
-  readonly order: RolloutOrder;
+  readonly spec: RolloutSpec;
   readonly state: StoredRolloutState;
   readonly storeVersion: number;
 }
@@ -148,7 +148,7 @@
    * Since when a version waits for the specs to be read; `Infinity` if none
    * does.
    */
-  get holdingSince(): number {
+  get heldBackSince(): number {
     return Math.min(Infinity, ...this.#heldBackSince.values());
   }
 
@@ -172,7 +172,7 @@
    * Accepts the held-back versions that no spec names, once all specs were
    * read.
    */
-  read(): void {
+  specsRead(): void {
     [...this.#heldBackSince.keys()]
       .filter((service) => !this.#unreadable.has(service))
       .forEach((service) => this.#acceptListed(service));
@@ -180,7 +180,7 @@
 
   /** Applies a spec and its state from the store. */
   stored(stored: StoredRollout, storeVersion: number, now: number): void {
-    const { order: spec, state } = stored;
+    const { spec, state } = stored;
     this.#unreadable.delete(spec.service);
     const known = this.#services.get(spec.service)?.rollout;
     if (known?.spec.toVersion !== spec.toVersion && isFinal(state)) {
@@ -218,15 +218,15 @@
    * Applies the updates of another host. Updates of relays come without an
    * incarnation and report no host's progress.
    */
-  heard(
-    updates: readonly RolloutNews[],
-    options: { readonly life?: string; readonly now: number },
+  received(
+    updates: readonly RolloutUpdate[],
+    options: { readonly incarnation?: string; readonly now: number },
   ): void {
-    const { life: incarnation, now } = options;
+    const { incarnation, now } = options;
     updates.forEach((update) => {
-      const { service } = update.order;
+      const { service } = update.spec;
       if (this.#isOutdated(update)) return;
-      this.#findOrStart(update.order, {
+      this.#findOrStart(update.spec, {
         ...update,
         wasRunning: false,
         now,
@@ -236,7 +236,7 @@
   }
 
   /** Whether an update is about a spec that is known to be replaced or over. */
-  #isOutdated({ order: spec, storeVersion, phase }: RolloutNews): boolean {
+  #isOutdated({ spec, storeVersion, phase }: RolloutUpdate): boolean {
     const known = this.#services.get(spec.service);
     if (known === undefined) return false;
     const { rollout } = known;
@@ -254,7 +254,7 @@
   }
 
   /** The updates of this host for the other hosts. */
-  news(now: number): readonly RolloutNews[] {
+  updates(now: number): readonly RolloutUpdate[] {
     const current = this.#currentRollouts();
     current.forEach((rollout) => {
       rollout.evaluate(now);
@@ -269,7 +269,10 @@
    * Checks the promotions: whether any is in progress, and whether the progress
    * has changed since the last check.
    */
-  leaving(now: number): { readonly goesOn: boolean; readonly isNews: boolean } {
+  promotionProgress(now: number): {
+    readonly isPromoting: boolean;
+    readonly hasChanged: boolean;
+  } {
     const promoting = this.#currentRollouts().filter(
       ({ phase }) => phase === "promoting",
     );
@@ -280,13 +283,13 @@
         rollout.peersOffBaselineCount,
       ])
       .join(",");
-    const isNews = progress !== this.#lastProgress;
+    const hasChanged = progress !== this.#lastProgress;
     this.#lastProgress = progress;
-    return { goesOn: promoting.length > 0, isNews };
+    return { isPromoting: promoting.length > 0, hasChanged };
   }
 
   /** The updates of a relay about the fleet for its members. */
-  word(now: number): readonly RolloutNews[] {
+  relayUpdates(now: number): readonly RolloutUpdate[] {
     return this.#currentRollouts().map((rollout) =>
       rollout.updateAt(now, undefined),
     );
@@ -302,14 +305,14 @@
     if (known?.rollout === undefined || known.overSince !== undefined) {
       return {
         first: this.#acceptedRecords(service, { records, now: send.now }),
-        otherwise: undefined,
+        fallback: undefined,
       };
     }
     const { rollout } = known;
     const { first, fallback } = rollout.arms(send);
     const recordsOf = (arm: VersionArm | undefined) =>
       arm && this.#recordsOf(rollout, arm, { records, now: send.now });
-    return { first: recordsOf(first) ?? [], otherwise: recordsOf(fallback) };
+    return { first: recordsOf(first) ?? [], fallback: recordsOf(fallback) };
   }
 
   /**
@@ -319,7 +322,7 @@
   sent(
     { entry }: ServerRecord,
     send: { readonly route: string; readonly sentAt: number },
-  ): SentRequest | undefined {
+  ): SendObserver | undefined {
     const rollout = this.#services.get(entry.service)?.rollout;
     const arm = rollout?.armOf(entry.version);
     if (rollout === undefined || arm === undefined) return undefined;
@@ -328,7 +331,7 @@
   }
 
   /** Whether the requests at a server should go to another version. */
-  isLeft({ entry }: ServerRecord, now: number): boolean {
+  shouldMigrate({ entry }: ServerRecord, now: number): boolean {
     const rollout = this.#services.get(entry.service)?.rollout;
     return (
       rollout?.phase === "promoting" &&
@@ -359,7 +362,7 @@
       const state = rollout.dueState(this.#view(rollout, { now, peers }));
       this.#applyPhase(rollout.spec.service, now);
       const { spec, storeVersion } = rollout;
-      return state === undefined ? [] : [{ order: spec, state, storeVersion }];
+      return state === undefined ? [] : [{ spec, state, storeVersion }];
     });
   }
 
@@ -382,7 +385,7 @@
 
   #ownRunning(rollout: Rollout): number {
     return this.#parts.directory
-      .everOf(rollout.spec.service)
+      .allOf(rollout.spec.service)
       .filter(({ entry }) => rollout.armOf(entry.version) === "baseline")
       .reduce((sum, record) => sum + record.ownRunning, 0);
   }
@@ -398,7 +401,7 @@
    * rolled back is not tried again.
    */
   #findOrStart(
-    spec: RolloutOrder,
+    spec: RolloutSpec,
     origin: {
       readonly storeVersion: number;
       readonly remainingMilliseconds: number;
@@ -415,7 +418,7 @@
     const { refused } = this.#services.get(service) ?? NO_VERSIONS;
     const baseline =
       origin.baseline ?? this.#baselineOf(service, toVersion, refused);
-    const position = this.#parts.place(`${service}/${toVersion}`);
+    const position = this.#parts.fleetPosition(`${service}/${toVersion}`);
     const rollout = new Rollout({
       spec,
       baseline,
@@ -424,7 +427,7 @@
       terms: this.#parts.terms(),
       slack: this.#slackFor(spec, { ...origin, position }),
       stagger: position.rank / Math.max(1, position.hosts),
-      evaluator: this.#parts.judge(),
+      evaluator: this.#parts.createEvaluator(),
       now: origin.now,
     });
     this.#set(service, {
@@ -454,7 +457,7 @@
   }
 
   #slackFor(
-    spec: RolloutOrder,
+    spec: RolloutSpec,
     origin: {
       readonly wasRunning: boolean;
       readonly remainingMilliseconds: number;
@@ -537,7 +540,7 @@
 
   /** Applies a roll-out that was over before this host knew of it. */
   #applyStoredEnd(
-    { service, toVersion }: RolloutOrder,
+    { service, toVersion }: RolloutSpec,
     isRolledBack: boolean,
   ): void {
     const known = this.#services.get(service) ?? NO_VERSIONS;
@@ -556,7 +559,7 @@
   }
 
   #listedVersions(service: string): readonly string[] {
-    const entries = this.#parts.directory.everOf(service);
+    const entries = this.#parts.directory.allOf(service);
     return [...new Set(entries.map(({ entry }) => entry.version))];
   }
 
--- a/packages/rampswitch-serving/src/rollout/rollouts_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollouts_test.ts
@@ -5,9 +5,9 @@
 import { ServerDirectory, type ServerRecord } from "../choice/mod.ts";
 import { ServingMetrics } from "../observation/mod.ts";
 import type { StoredRollout, StoredRolloutState } from "./rollout_spec.ts";
-import type { RolloutNews } from "./rollout.ts";
+import type { RolloutUpdate } from "./rollout.ts";
 import { Rollouts } from "./rollouts.ts";
-import { VersionJudge } from "./version_evaluator.ts";
+import { VersionEvaluator } from "./version_evaluator.ts";
 
 const SERVICE = "models";
 const LATER = 60_000;
@@ -21,8 +21,8 @@
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
       terms: () => ({ share: 0.1, slack: 50 }),
-      place: () => ({ rank: 0, hosts: 1 }),
-      judge: () => new VersionJudge(),
+      fleetPosition: () => ({ rank: 0, hosts: 1 }),
+      createEvaluator: () => new VersionEvaluator(),
       onPromoting: () => undefined,
       onUnknownVersion: () => this.specReads.push("orders"),
     },
@@ -53,7 +53,7 @@
   versions(now: number, requests = 40): readonly string[] {
     const chosen = Array.from({ length: requests }).map(() => {
       const choice = this.rollouts.choice(SERVICE, { isFirst: true, now });
-      const [record] = [...choice.first, ...(choice.otherwise ?? [])];
+      const [record] = [...choice.first, ...(choice.fallback ?? [])];
       if (record !== undefined) this.#send(record, now);
       return record?.entry.version ?? "none";
     });
@@ -70,19 +70,19 @@
   state?: StoredRolloutState,
 ): StoredRollout {
   return {
-    order: { service: SERVICE, toVersion, durationMilliseconds: 12_000 },
+    spec: { service: SERVICE, toVersion, durationMilliseconds: 12_000 },
     state,
   };
 }
 
-function updateOf(toVersion: string, storeVersion: number): RolloutNews {
+function updateOf(toVersion: string, storeVersion: number): RolloutUpdate {
   return {
-    order: storedRollout(toVersion).order,
+    spec: storedRollout(toVersion).spec,
     baseline: ["v1"],
     storeVersion,
     remainingMilliseconds: 5_000,
     phase: "canary",
-    own: { hasMoved: false, counts: {}, waiting: {} },
+    senderProgress: { hasLeftBaseline: false, counts: {}, waiting: {} },
   };
 }
 
@@ -93,7 +93,7 @@
     fixture.list("v2", 3, LATER);
     expect(fixture.specReads).toEqual(["orders"]);
     expect(fixture.versions(LATER)).toEqual(["v1"]);
-    fixture.rollouts.read();
+    fixture.rollouts.specsRead();
     const { first } = fixture.rollouts.choice(SERVICE, {
       isFirst: true,
       now: LATER,
@@ -106,7 +106,7 @@
     fixture.list("v1", 3);
     fixture.list("v2", 3, LATER);
     fixture.rollouts.unreadable(SERVICE);
-    fixture.rollouts.read();
+    fixture.rollouts.specsRead();
     expect(fixture.versions(LATER)).toEqual(["v1"]);
   });
 
@@ -147,7 +147,7 @@
     fixture.rollouts.stored(storedRollout("v2", "rolled_back"), 7, LATER);
     expect(fixture.versions(LATER)).toEqual(["v1"]);
     // The roll-out is forgotten, and a new duty holder reads the spec again.
-    fixture.rollouts.news(LATER + 11_000);
+    fixture.rollouts.updates(LATER + 11_000);
     fixture.rollouts.stored(storedRollout("v2", "running"), 8, LATER + 12_000);
     expect(fixture.versions(LATER + 12_000)).toEqual(["v1"]);
     // After another spec it may be tried again.
@@ -158,7 +158,7 @@
       LATER + 13_000,
     );
     fixture.rollouts.stored(storedRollout("v2"), 11, LATER + 14_000);
-    expect(fixture.rollouts.news(LATER + 14_000)[0]?.phase).toBe("canary");
+    expect(fixture.rollouts.updates(LATER + 14_000)[0]?.phase).toBe("canary");
   });
 
   test("a roll-out from before the start excludes no version without alternatives", () => {
@@ -207,11 +207,11 @@
     first.list("v1", 3);
     first.list("v2", 3, LATER);
     first.rollouts.stored(storedRollout("v2", "running"), 5, LATER);
-    const reported = first.rollouts.news(LATER + 5_000);
+    const reported = first.rollouts.updates(LATER + 5_000);
     const second = new Fixture();
     second.list("v1", 3);
     second.list("v2", 3);
-    second.rollouts.heard(reported, { life: "h/1", now: 200 });
+    second.rollouts.received(reported, { incarnation: "h/1", now: 200 });
     expect(second.versions(200, 9)).toEqual(["v1"]);
   });
 
@@ -225,10 +225,10 @@
     first.rollouts.stored(storedRollout("v2", "completed"), 7, LATER);
     const reported = Array.from({ length: 100 }).map((_, round) => {
       const now = LATER + round * 400;
-      const updates = first.rollouts.news(now);
-      second.rollouts.heard(updates, { life: "first/1", now });
-      first.rollouts.heard(second.rollouts.news(now), {
-        life: "second/1",
+      const updates = first.rollouts.updates(now);
+      second.rollouts.received(updates, { incarnation: "first/1", now });
+      first.rollouts.received(second.rollouts.updates(now), {
+        incarnation: "second/1",
         now,
       });
       return updates.length;
@@ -242,7 +242,10 @@
     expect(second.versions(LATER + 40_000)).toEqual(["v2"]);
     // A host that was cut off in the meantime reports it as still running.
     const stale = { ...updateOf("v2", 5), phase: "canary" as const };
-    second.rollouts.heard([stale], { life: "cut/1", now: LATER + 41_000 });
+    second.rollouts.received([stale], {
+      incarnation: "cut/1",
+      now: LATER + 41_000,
+    });
     expect(second.versions(LATER + 41_000)).toEqual(["v2"]);
   });
 
--- a/packages/rampswitch-serving/src/rollout/version_evaluator.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator.ts
@@ -27,16 +27,16 @@
  * Steps that an evaluation has to allow: to send all requests to the version,
  * and to make it the only version.
  */
-export type JudgedStep = "promotion" | "completion";
+export type EvaluatedStep = "promotion" | "completion";
 
 /** Evaluates a version by counts that only grow. */
-export interface Judge {
+export interface Evaluator {
   /** Adds the known answers of the whole fleet. */
   observe(evidence: VersionEvidence): void;
   /** Why the version is bad; `undefined` if no fault was found. */
   readonly fault: VersionFault | undefined;
   /** Whether the version is good enough for a step. */
-  allows(step: JudgedStep): boolean;
+  allows(step: EvaluatedStep): boolean;
 }
 
 /** The known answers of a roll-out's versions. */
@@ -131,7 +131,7 @@
 
 /** Increases that must be ruled out for a step, over all routes together. */
 const RULED_OUT_INCREASES: Readonly<
-  Record<JudgedStep, Readonly<Record<TestKind, number>>>
+  Record<EvaluatedStep, Readonly<Record<TestKind, number>>>
 > = {
   promotion: { failed: 0.25, slow: 0.3, slower: 0.4 },
   completion: { failed: 0.1, slow: 0.15, slower: 0.3 },
@@ -208,7 +208,7 @@
 }
 
 /** Evaluates a version by sequential tests. */
-export class VersionJudge implements Judge {
+export class VersionEvaluator implements Evaluator {
   #counts: VersionCounts = {};
   /**
    * Answers of each observation. They are tested again every time, since what
@@ -259,7 +259,7 @@
   }
 
   /** Whether enough faults are ruled out for a step. */
-  allows(step: JudgedStep): boolean {
+  allows(step: EvaluatedStep): boolean {
     if (this.#fault !== undefined) return false;
     const ofAll = this.#tests.filter(({ route }) => route === ALL_ROUTES);
     const onRoutes = this.#tests.filter(
--- a/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
+++ b/packages/rampswitch-serving/src/rollout/version_evaluator_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, test } from "@jest/globals";
 import { seededRandom } from "rampswitch-utils";
 import { type VersionCounts, withAnswer } from "./version_counts.ts";
-import { VersionJudge } from "./version_evaluator.ts";
+import { VersionEvaluator } from "./version_evaluator.ts";
 
 interface SimulatedVersion {
   readonly seed: number;
@@ -29,9 +29,9 @@
   observations,
   answers,
   target,
-}: SimulatedVersion): VersionJudge {
+}: SimulatedVersion): VersionEvaluator {
   const random = seededRandom(seed);
-  const evaluator = new VersionJudge();
+  const evaluator = new VersionEvaluator();
   let counts: VersionCounts = {};
   const time = () => 100 * Math.exp(random.next() + random.next() - 1);
   Array.from({ length: observations }).forEach((_, observation) => {
@@ -137,14 +137,14 @@
       ...answers("baseline", 1.2),
       ...answers("target", 4),
     ].reduce<VersionCounts>(withAnswer, {});
-    const evaluator = new VersionJudge();
+    const evaluator = new VersionEvaluator();
     evaluator.observe({ counts, waiting: {} });
     expect(evaluator.fault).toBeUndefined();
     expect(evaluator.allows("completion")).toBe(true);
   });
 
   test("allows no step without answers", () => {
-    const evaluator = new VersionJudge();
+    const evaluator = new VersionEvaluator();
     evaluator.observe({ counts: {}, waiting: {} });
     expect(evaluator.allows("promotion")).toBe(false);
     expect(evaluator.allows("completion")).toBe(false);
@@ -174,7 +174,7 @@
         }),
       {},
     );
-    const evaluator = new VersionJudge();
+    const evaluator = new VersionEvaluator();
     evaluator.observe({ counts: baseline, waiting });
     expect(evaluator.fault?.kind).toBe("slow");
   });
--- a/packages/rampswitch-serving/src/server_limits/limit_table.ts
+++ b/packages/rampswitch-serving/src/server_limits/limit_table.ts
@@ -8,14 +8,17 @@
  * @module
  */
 import type { Logger } from "rampswitch-utils";
-import { nameOfLife, type ServerLife } from "../model/backend_server.ts";
+import {
+  incarnationId,
+  type ServerIncarnation,
+} from "../model/backend_server.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
 /**
  * The limit that a server advertised last, with an age instead of a time because
  * hosts have no common clock.
  */
-export interface LimitNews extends ServerLife {
+export interface LimitUpdate extends ServerIncarnation {
   /**
    * Requests per second from all hosts; `undefined` if the server advertised no
    * limit.
@@ -34,7 +37,7 @@
   readonly origin: Origin;
 }
 
-interface LimitState extends ServerLife {
+interface LimitState extends ServerIncarnation {
   readonly newest: AdvertisedLimit;
   /**
    * Limits that still count if they are lower, each with the time when a newer one
@@ -70,11 +73,11 @@
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
   /** Called when an answer advertised a limit that is new or lower than before. */
-  onLower(): void;
+  onLowered(): void;
 }
 
 /** The advertised limits of backend servers. */
-export class LimitBook {
+export class LimitTable {
   readonly #parts: LimitTableParts;
   readonly #states = new Map<string, LimitState>();
 
@@ -83,7 +86,7 @@
   }
 
   /** Incarnations of servers that have a limit or had one recently. */
-  get incarnations(): readonly ServerLife[] {
+  get incarnations(): readonly ServerIncarnation[] {
     return [...this.#states.values()];
   }
 
@@ -97,8 +100,8 @@
    * no limit. If two limits were advertised shortly after one another, the lower
    * one applies.
    */
-  of(incarnation: ServerLife, now: number): number | undefined {
-    const state = this.#states.get(nameOfLife(incarnation));
+  limitOf(incarnation: ServerIncarnation, now: number): number | undefined {
+    const state = this.#states.get(incarnationId(incarnation));
     if (state === undefined) return undefined;
     const lowest = Math.min(
       state.newest.perSecond ?? Infinity,
@@ -110,26 +113,27 @@
   }
 
   /** Age of a server's last advertised limit, in milliseconds. */
-  advertisedAge(incarnation: ServerLife, now: number): number {
+  advertisedAge(incarnation: ServerIncarnation, now: number): number {
     return (
-      now - (this.#states.get(nameOfLife(incarnation))?.newest.at ?? -Infinity)
+      now -
+      (this.#states.get(incarnationId(incarnation))?.newest.at ?? -Infinity)
     );
   }
 
   /** Records the limit that an answer of a server advertised. */
-  read(
-    incarnation: ServerLife,
+  recordAdvertised(
+    incarnation: ServerIncarnation,
     perSecond: number | undefined,
     now: number,
   ): void {
     const isRelevant =
-      perSecond !== undefined || this.#states.has(nameOfLife(incarnation));
+      perSecond !== undefined || this.#states.has(incarnationId(incarnation));
     if (isRelevant)
       this.#accept(incarnation, { perSecond, at: now, origin: "answer" });
   }
 
   /** Receives the limits that another host reported. */
-  heard(updates: readonly LimitNews[], now: number): void {
+  receive(updates: readonly LimitUpdate[], now: number): void {
     updates.forEach(({ perSecond, age, ...incarnation }) =>
       this.#accept(incarnation, {
         perSecond,
@@ -143,10 +147,10 @@
    * The limits to report to other hosts. With `ownOnly`, only those that this host
    * read itself.
    */
-  news(
+  updates(
     now: number,
     { ownOnly }: { readonly ownOnly: boolean },
-  ): readonly LimitNews[] {
+  ): readonly LimitUpdate[] {
     this.#removeEnded(now);
     return [...this.#states.values()]
       .filter(({ newest }) => !ownOnly || newest.origin === "answer")
@@ -161,12 +165,12 @@
   }
 
   /** Removes the limit of an incarnation that has ended. */
-  forget(incarnation: ServerLife): void {
-    this.#states.delete(nameOfLife(incarnation));
+  forget(incarnation: ServerIncarnation): void {
+    this.#states.delete(incarnationId(incarnation));
   }
 
-  #accept(incarnation: ServerLife, advertised: AdvertisedLimit): void {
-    const key = nameOfLife(incarnation);
+  #accept(incarnation: ServerIncarnation, advertised: AdvertisedLimit): void {
+    const key = incarnationId(incarnation);
     const previous = this.#states.get(key);
     if (previous !== undefined && advertised.at <= previous.newest.at) {
       this.#acceptLate(previous, advertised);
@@ -186,7 +190,7 @@
     const isLower =
       (advertised.perSecond ?? Infinity) <
       (previous?.newest.perSecond ?? Infinity);
-    if (isLower && advertised.origin === "answer") this.#parts.onLower();
+    if (isLower && advertised.origin === "answer") this.#parts.onLowered();
   }
 
   /** Accepts a limit that was read before the newest one and received after it. */
@@ -198,7 +202,7 @@
       (one) => one.perSecond === perSecond,
     );
     if (isIncluded) return;
-    this.#states.set(nameOfLife(state), {
+    this.#states.set(incarnationId(state), {
       ...state,
       superseded: [...state.superseded, { perSecond, until: state.newest.at }],
     });
@@ -227,7 +231,7 @@
   }
 
   #logChange(
-    { id, born }: ServerLife,
+    { id, born }: ServerIncarnation,
     previous: AdvertisedLimit | undefined,
     advertised: AdvertisedLimit,
   ): void {
--- a/packages/rampswitch-serving/src/server_limits/mod.ts
+++ b/packages/rampswitch-serving/src/server_limits/mod.ts
@@ -5,23 +5,23 @@
  *
  * @module
  */
-export { LimitBook, type LimitNews } from "./limit_table.ts";
+export { LimitTable, type LimitUpdate as LimitUpdate } from "./limit_table.ts";
 export {
   type LimitedServer,
-  ServerTurns,
-  type TurnNews,
-  type TurnReply,
-  type TurnRequest,
+  ServerPermits,
+  type PermitUpdate,
+  type PermitReply,
+  type PermitRequest,
 } from "./server_permits.ts";
 export {
   MINIMUM_PERMITS_PER_SECOND,
-  TurnLedger,
+  PermitLedger,
   type PermitOutcome,
-  type TurnUrgency,
+  type PermitUrgency,
 } from "./permit_ledger.ts";
 export {
   type LendingIntervals,
-  type LentTo,
-  TurnLenders,
+  type HoldersByService,
+  PermitLenders,
 } from "./permit_lenders.ts";
-export { TurnWaits } from "./permit_waits.ts";
+export { PermitWaits } from "./permit_waits.ts";
--- a/packages/rampswitch-serving/src/server_limits/permit_ledger.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_ledger.ts
@@ -15,7 +15,7 @@
 import { hash32 } from "rampswitch-utils";
 
 /** How urgently a request has to be sent. */
-export type TurnUrgency =
+export type PermitUrgency =
   /** Needs two free permits, so that one is left for a more urgent request. */
   | "ordinary"
   /** May take the last permit. */
@@ -29,7 +29,7 @@
 /** The server that a permit is requested for, and the time slots that may be used. */
 export interface PermitTerms {
   /** Name of the server's incarnation, unique among all servers. */
-  readonly life: string;
+  readonly incarnationName: string;
   /** Requests per second that the server takes. */
   readonly perSecond: number;
   /** Fleet time, in milliseconds. */
@@ -66,7 +66,7 @@
 const ADVANCE_TIME_SLOTS = 2;
 
 /** Number of free time slots that a permit requires. */
-const REQUIRED_TIME_SLOTS: Readonly<Record<TurnUrgency, number>> = {
+const REQUIRED_TIME_SLOTS: Readonly<Record<PermitUrgency, number>> = {
   ordinary: 2,
   urgent: 1,
   continuation: 1,
@@ -76,18 +76,18 @@
 const MAXIMUM_TIME_SLOTS_AHEAD = 8;
 
 /** Records which time slots are used, by incarnation of a server. */
-export class TurnLedger {
+export class PermitLedger {
   /** End of the last time slot that was used, in fleet time and milliseconds. */
   readonly #usedUntil = new Map<string, number>();
 
   /** Grants a permit, or returns the time after which to query again. */
-  give(terms: PermitTerms, urgency: TurnUrgency): PermitOutcome {
+  grant(terms: PermitTerms, urgency: PermitUrgency): PermitOutcome {
     const slot = timeSlotMilliseconds(terms);
     const usable = this.#usableTimeSlots(terms, urgency);
     const [first] = usable;
     const needed = REQUIRED_TIME_SLOTS[urgency];
     if (first !== undefined && usable.length >= needed) {
-      this.#usedUntil.set(terms.life, (first + 1) * slot);
+      this.#usedUntil.set(terms.incarnationName, (first + 1) * slot);
       return { kind: "given" };
     }
     const missing = needed - usable.length;
@@ -110,7 +110,7 @@
   /** Time slots that may be used now, the oldest first. */
   #usableTimeSlots(
     terms: PermitTerms,
-    urgency: TurnUrgency,
+    urgency: PermitUrgency,
   ): readonly number[] {
     const slot = timeSlotMilliseconds(terms);
     const current = Math.floor(terms.time / slot);
@@ -130,14 +130,14 @@
   #usedUntilOf(terms: PermitTerms): number {
     const slot = timeSlotMilliseconds(terms);
     const maximumLead = (ADVANCE_TIME_SLOTS + 1) * slot;
-    const recorded = this.#usedUntil.get(terms.life);
+    const recorded = this.#usedUntil.get(terms.incarnationName);
     // After the fleet time was set back, the recorded end can lie far in the
     // future. It is reset, or the server would get no permits until that time.
     const from =
       recorded === undefined || recorded > terms.time + maximumLead
         ? terms.time
         : recorded;
-    this.#usedUntil.set(terms.life, from);
+    this.#usedUntil.set(terms.incarnationName, from);
     return from;
   }
 }
@@ -161,11 +161,14 @@
   return 1_000 / Math.max(perSecond, MINIMUM_PERMITS_PER_SECOND);
 }
 
-function isUsable(slot: number, { life, owners }: PermitTerms): boolean {
+function isUsable(
+  slot: number,
+  { incarnationName: serverName, owners }: PermitTerms,
+): boolean {
   const { hosts, lenders } = owners;
   if (lenders.size >= hosts.length) return true;
   if (lenders.size === 0) return false;
-  const owner = ownerOf(`${life}|${slot}`, hosts);
+  const owner = ownerOf(`${serverName}|${slot}`, hosts);
   return owner !== undefined && lenders.has(owner);
 }
 
--- a/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import { rendezvousOrder } from "rampswitch-utils";
-import { goneAfterMilliseconds } from "../admission/peer_spending.ts";
+import { peerTimeoutMilliseconds } from "../admission/peer_spending.ts";
 import type { TimeSlotOwners } from "./permit_ledger.ts";
 
 /** Intervals of the gossip, in milliseconds. */
@@ -22,11 +22,11 @@
 }
 
 /** The holder that a host lends its time slots to, by service. */
-export type LentTo = Readonly<Record<string, string>>;
+export type HoldersByService = Readonly<Record<string, string>>;
 
 /** What a host reports about its time slots. */
 export interface LenderUpdate {
-  readonly lentTo: LentTo;
+  readonly lentTo: HoldersByService;
   /** Whether the host is shutting down. */
   readonly stopping: boolean;
 }
@@ -57,7 +57,7 @@
 const PAUSE_INTERVALS = 2.4;
 
 /** Tracks the holders of services and the time slots that are lent to this host. */
-export class TurnLenders {
+export class PermitLenders {
   readonly #self: string;
   readonly #others = new Map<string, Lender>();
   #own: Loans = new Map();
@@ -68,7 +68,7 @@
   }
 
   /** The holders that this host lends to, to report to the other hosts. */
-  get lentTo(): LentTo {
+  get lentTo(): HoldersByService {
     return Object.fromEntries(
       [...this.#own].map(([service, { holder }]) => [service, holder]),
     );
@@ -79,7 +79,7 @@
    * service with limited servers. `now` is the time of a clock that detects pauses
    * of the process.
    */
-  look(
+  updateLoans(
     options: {
       readonly services: readonly string[];
       readonly holders: readonly string[];
@@ -100,13 +100,13 @@
   }
 
   /** Adds a host that is listed and has not reported yet. */
-  expected(host: string, now: number): void {
+  expectHost(host: string, now: number): void {
     if (this.#others.has(host)) return;
     this.#others.set(host, { loans: new Map(), receivedAt: now });
   }
 
   /** Receives the update of a host; `at` is the time when it was sent. */
-  heard(
+  receive(
     host: string,
     { lentTo, stopping }: LenderUpdate,
     { at, pace }: { readonly at: number; readonly pace: LendingIntervals },
@@ -168,7 +168,7 @@
     const recent = others.filter(
       ([, { receivedAt }]) => now - receivedAt < silence,
     );
-    const goneAfter = goneAfterMilliseconds(recent.length, others.length);
+    const goneAfter = peerTimeoutMilliseconds(recent.length, others.length);
     others
       .filter(([, { receivedAt }]) => now - receivedAt >= goneAfter)
       .forEach(([name]) => this.#others.delete(name));
--- a/packages/rampswitch-serving/src/server_limits/permit_lenders_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { TurnLenders } from "./permit_lenders.ts";
+import { PermitLenders } from "./permit_lenders.ts";
 
 const INTERVALS = { silence: 700, interval: 250 };
 const SERVICE = "models";
@@ -15,15 +15,15 @@
 const SETTLED_MILLISECONDS = 1_300;
 
 interface Fleet {
-  readonly hosts: ReadonlyMap<string, TurnLenders>;
+  readonly hosts: ReadonlyMap<string, PermitLenders>;
   now: number;
 }
 
 function fleet(): Fleet {
-  const hosts = new Map(NAMES.map((name) => [name, new TurnLenders(name)]));
+  const hosts = new Map(NAMES.map((name) => [name, new PermitLenders(name)]));
   hosts.forEach((lenders, name) =>
     NAMES.filter((other) => other !== name).forEach((other) =>
-      lenders.expected(other, 0),
+      lenders.expectHost(other, 0),
     ),
   );
   return { hosts, now: 0 };
@@ -42,13 +42,13 @@
     const holders = NAMES.filter(
       (other) => other === name || reaches(other, name),
     );
-    lenders.look({ services: [SERVICE], holders }, state.now, INTERVALS);
+    lenders.updateLoans({ services: [SERVICE], holders }, state.now, INTERVALS);
   });
   state.hosts.forEach(({ lentTo }, from) =>
     state.hosts.forEach((lenders, to) => {
       if (from === to || !reaches(from, to)) return;
       const update = { lentTo, stopping: false };
-      lenders.heard(from, update, { at: state.now, pace: INTERVALS });
+      lenders.receive(from, update, { at: state.now, pace: INTERVALS });
     }),
   );
 }
@@ -138,7 +138,7 @@
       [...state.hosts].find(([name, one]) => one.holder(SERVICE) === name) ??
       [];
     const stopping = NAMES.find((name) => holder?.holder(SERVICE) !== name);
-    holder?.heard(
+    holder?.receive(
       stopping ?? "",
       { lentTo: {}, stopping: true },
       { at: state.now, pace: INTERVALS },
--- a/packages/rampswitch-serving/src/server_limits/permit_waits.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_waits.ts
@@ -42,11 +42,11 @@
 };
 
 /** Waits for permits, by service. */
-export class TurnWaits {
+export class PermitWaits {
   readonly #waits = new Map<string, ServiceWait>();
 
   /** Whether a query for a permit may succeed now. */
-  mayAsk(service: string, now: number): boolean {
+  canQuery(service: string, now: number): boolean {
     return now >= this.#of(service).queryAt;
   }
 
@@ -54,7 +54,7 @@
    * Records that no permit was free, and the time until the next one in
    * milliseconds.
    */
-  refused(service: string, milliseconds: number, now: number): void {
+  recordRefusal(service: string, milliseconds: number, now: number): void {
     this.#waits.set(service, {
       ...this.#of(service),
       freeAt: now + milliseconds,
@@ -63,15 +63,15 @@
   }
 
   /** Records that a query was not answered. */
-  unanswered(service: string, now: number): void {
-    this.refused(service, UNANSWERED_PAUSE_MILLISECONDS, now);
+  recordNoAnswer(service: string, now: number): void {
+    this.recordRefusal(service, UNANSWERED_PAUSE_MILLISECONDS, now);
   }
 
   /**
    * Returns the delay after which the caller that is refused now may retry, in
    * milliseconds.
    */
-  tell(
+  assignRetryDelay(
     service: string,
     { perSecond, hosts }: PermitShare,
     now: number,
--- a/packages/rampswitch-serving/src/server_limits/server_permits.ts
+++ b/packages/rampswitch-serving/src/server_limits/server_permits.ts
@@ -8,44 +8,44 @@
  * @module
  */
 import type { Clock, Logger } from "rampswitch-utils";
-import { type BackendServer, nameOfLife } from "../model/backend_server.ts";
+import { type BackendServer, incarnationId } from "../model/backend_server.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
-import { LimitBook, type LimitNews } from "./limit_table.ts";
+import { LimitTable, type LimitUpdate } from "./limit_table.ts";
 import {
   MINIMUM_PERMITS_PER_SECOND,
   type TimeSlotOwners,
-  TurnLedger,
+  PermitLedger,
   type PermitOutcome,
   type PermitTerms,
-  type TurnUrgency,
+  type PermitUrgency,
 } from "./permit_ledger.ts";
 import {
   type LendingIntervals,
-  type LentTo,
-  TurnLenders,
+  type HoldersByService,
+  PermitLenders,
 } from "./permit_lenders.ts";
-import { TurnWaits } from "./permit_waits.ts";
+import { PermitWaits } from "./permit_waits.ts";
 
 /** A request for a permit at one of some servers. */
-export interface TurnRequest {
+export interface PermitRequest {
   readonly service: string;
   /** Ids of the servers, the preferred ones first. */
   readonly servers: readonly string[];
-  readonly urgency: TurnUrgency;
+  readonly urgency: PermitUrgency;
 }
 
 /**
  * A permit at one of the servers, or the time after which to query again, in
  * milliseconds.
  */
-export type TurnReply =
+export type PermitReply =
   | { readonly kind: "given"; readonly server: string }
   | { readonly kind: "wait"; readonly milliseconds: number };
 
 /** What a host reports about limits and permits. */
-export interface TurnNews {
-  readonly limits: readonly LimitNews[];
-  readonly lentTo: LentTo;
+export interface PermitUpdate {
+  readonly limits: readonly LimitUpdate[];
+  readonly lentTo: HoldersByService;
 }
 
 /** A server that may advertise a limit. Its entry can change. */
@@ -53,7 +53,7 @@
   readonly entry: Pick<BackendServer, "id" | "born" | "service">;
 }
 
-/** Dependencies of {@link ServerTurns}. */
+/** Dependencies of {@link ServerPermits}. */
 export interface ServerPermitsParts {
   readonly host: string;
   /** A monotonic clock. */
@@ -66,19 +66,22 @@
   readonly logger: Logger;
   readonly metrics: ServingMetrics;
   /** Fleet time, in milliseconds. */
-  agreedTime(): number;
-  pace(): LendingIntervals;
+  fleetTime(): number;
+  gossipIntervals(): LendingIntervals;
   /** Number of hosts that may be serving. */
   hosts(): number;
   /** The current incarnation of a server. */
   server(id: string): LimitedServer | undefined;
   /** Queries the holder; `undefined` if no answer arrives in time. */
-  ask(holder: string, request: TurnRequest): Promise<TurnReply | undefined>;
+  queryHolder(
+    holder: string,
+    request: PermitRequest,
+  ): Promise<PermitReply | undefined>;
   /**
    * Called when an answer advertised a limit that is new or lower, to report it to
    * the other hosts at once.
    */
-  tell(): void;
+  broadcast(): void;
 }
 
 /** Maximum number of servers in a query; the holder may choose any of them. */
@@ -94,7 +97,7 @@
 /** Time until the next query while a service has no holder, in milliseconds. */
 const NO_HOLDER_WAIT_MILLISECONDS = 300;
 
-const NO_HOLDER: TurnReply = {
+const NO_HOLDER: PermitReply = {
   kind: "wait",
   milliseconds: NO_HOLDER_WAIT_MILLISECONDS,
 };
@@ -111,17 +114,20 @@
 }
 
 /** The limited servers and their permits, as one host sees them. */
-export class ServerTurns {
+export class ServerPermits {
   readonly #parts: ServerPermitsParts;
-  readonly #limitTable: LimitBook;
-  readonly #lenders: TurnLenders;
-  readonly #ledger = new TurnLedger();
-  readonly #waits = new TurnWaits();
+  readonly #limitTable: LimitTable;
+  readonly #lenders: PermitLenders;
+  readonly #ledger = new PermitLedger();
+  readonly #waits = new PermitWaits();
 
   constructor(parts: ServerPermitsParts) {
     this.#parts = parts;
-    this.#limitTable = new LimitBook({ ...parts, onLower: () => parts.tell() });
-    this.#lenders = new TurnLenders(parts.host);
+    this.#limitTable = new LimitTable({
+      ...parts,
+      onLowered: () => parts.broadcast(),
+    });
+    this.#lenders = new PermitLenders(parts.host);
   }
 
   /**
@@ -130,7 +136,7 @@
   limitOf({ entry }: LimitedServer): number | undefined {
     return this.#limitTable.isEmpty
       ? undefined
-      : this.#limitTable.of(entry, this.#parts.clock.now());
+      : this.#limitTable.limitOf(entry, this.#parts.clock.now());
   }
 
   /** Returns the servers without a limit. */
@@ -152,78 +158,94 @@
   /**
    * Records the limit that an answer advertised; `undefined` if it advertised none.
    */
-  read({ entry }: LimitedServer, perSecond: number | undefined): void {
-    this.#limitTable.read(entry, perSecond, this.#parts.clock.now());
+  recordAdvertised(
+    { entry }: LimitedServer,
+    perSecond: number | undefined,
+  ): void {
+    this.#limitTable.recordAdvertised(
+      entry,
+      perSecond,
+      this.#parts.clock.now(),
+    );
   }
 
   /**
    * Returns what to report to the other hosts in this gossip interval, and updates
    * the loans of this host's time slots.
    */
-  news(options: {
+  updates(options: {
     readonly holders: readonly string[];
     /**
      * Whether this host reports all limits, and not only those that it read itself.
      */
-    readonly tellsAll: boolean;
-  }): TurnNews {
+    readonly reportsAll: boolean;
+  }): PermitUpdate {
     const parts = this.#parts;
-    const limits = this.limits(parts.clock.now(), !options.tellsAll);
+    const limits = this.limitUpdates(parts.clock.now(), !options.reportsAll);
     const services = this.#limitedServices();
-    this.#lenders.look(
+    this.#lenders.updateLoans(
       { services, holders: options.holders },
       parts.cautiousClock.now(),
-      parts.pace(),
+      parts.gossipIntervals(),
     );
     this.#measureFreePermits(services);
     return { limits, lentTo: this.#lenders.lentTo };
   }
 
   /** Returns the limits to report. */
-  limits(now: number, ownOnly = false): readonly LimitNews[] {
-    return this.#limitTable.news(now, { ownOnly });
+  limitUpdates(now: number, ownOnly = false): readonly LimitUpdate[] {
+    return this.#limitTable.updates(now, { ownOnly });
   }
 
   /** Adds a host that is listed and has not reported yet. */
-  expected(host: string): void {
-    this.#lenders.expected(host, this.#parts.cautiousClock.now());
+  expectHost(host: string): void {
+    this.#lenders.expectHost(host, this.#parts.cautiousClock.now());
   }
 
   /** Receives the update of a host, which was sent `age` milliseconds ago. */
-  heard(
+  receive(
     host: string,
-    update: TurnNews & { readonly stopping: boolean },
+    update: PermitUpdate & { readonly stopping: boolean },
     age: number,
   ): void {
     const at = this.#parts.cautiousClock.now() - age;
-    this.#lenders.heard(host, update, { at, pace: this.#parts.pace() });
-    this.heardLimits(update.limits, age);
+    this.#lenders.receive(host, update, {
+      at,
+      pace: this.#parts.gossipIntervals(),
+    });
+    this.receiveLimits(update.limits, age);
   }
 
   /** Receives the limits that another host reported `age` milliseconds ago. */
-  heardLimits(limits: readonly LimitNews[], age: number): void {
+  receiveLimits(limits: readonly LimitUpdate[], age: number): void {
     const now = this.#parts.clock.now();
-    this.#limitTable.heard(
+    this.#limitTable.receive(
       limits.map((one) => ({ ...one, age: one.age + age })),
       now,
     );
   }
 
   /** Requests a permit at one of some servers, from this host or from the holder. */
-  async take(request: TurnRequest): Promise<TurnReply> {
+  async acquire(request: PermitRequest): Promise<PermitReply> {
     const { host, clock, metrics } = this.#parts;
     const { service } = request;
     const holder = this.#lenders.holder(service);
-    if (holder === host) return this.#recordReply(service, this.give(request));
+    if (holder === host) return this.#recordReply(service, this.grant(request));
     const waits = request.urgency === "continuation" ? undefined : this.#waits;
-    if (holder === undefined || waits?.mayAsk(service, clock.now()) === false) {
+    if (
+      holder === undefined ||
+      waits?.canQuery(service, clock.now()) === false
+    ) {
       metrics.event("turn_not_asked_for");
       return NO_HOLDER;
     }
     const servers = request.servers.slice(0, MAXIMUM_QUERIED_SERVERS);
-    const reply = await this.#parts.ask(holder, { ...request, servers });
+    const reply = await this.#parts.queryHolder(holder, {
+      ...request,
+      servers,
+    });
     if (reply === undefined) {
-      this.#waits.unanswered(service, clock.now());
+      this.#waits.recordNoAnswer(service, clock.now());
       metrics.event("turn_unanswered");
       return NO_HOLDER;
     }
@@ -231,7 +253,7 @@
   }
 
   /** Grants a permit if this host is the holder of the service. */
-  give({ service, servers, urgency }: TurnRequest): TurnReply {
+  grant({ service, servers, urgency }: PermitRequest): PermitReply {
     const owners = this.#ownersOf(service);
     if (owners.lenders.size === 0) return NO_HOLDER;
     const queried = servers
@@ -244,21 +266,21 @@
    * Grants a permit at a server whose limit was not reported for a while, so that
    * the end of the limit is noticed. Only the holder grants these.
    */
-  probe(service: string, limited: readonly LimitedServer[]): TurnReply {
+  probe(service: string, limited: readonly LimitedServer[]): PermitReply {
     const isHolder = this.#lenders.holder(service) === this.#parts.host;
     const due = isHolder
       ? this.#withoutReportFor(limited, PROBE_INTERVAL_MILLISECONDS.holder)
       : [];
     return due.length === 0
       ? { kind: "wait", milliseconds: PROBE_INTERVAL_MILLISECONDS.holder }
-      : this.give({ service, servers: idsOf(due), urgency: "urgent" });
+      : this.grant({ service, servers: idsOf(due), urgency: "urgent" });
   }
 
   /**
    * Returns the servers whose limit was not reported for so long that any host may
    * request a permit for a probe.
    */
-  unheard<Server extends LimitedServer>(
+  withoutRecentReport<Server extends LimitedServer>(
     limited: readonly Server[],
   ): readonly Server[] {
     return this.#withoutReportFor(limited, PROBE_INTERVAL_MILLISECONDS.others);
@@ -268,20 +290,24 @@
    * Returns the delay after which a caller that got no permit may retry, in
    * milliseconds. Each caller gets the time of a permit of its own.
    */
-  waitToTell(service: string, limited: readonly LimitedServer[]): number {
+  assignRetryDelay(service: string, limited: readonly LimitedServer[]): number {
     const perSecond = limited.reduce(
       (sum, server) =>
         sum + Math.max(MINIMUM_PERMITS_PER_SECOND, this.limitOf(server) ?? 0),
       0,
     );
     const share = { perSecond, hosts: this.#parts.hosts() };
-    return this.#waits.tell(service, share, this.#parts.clock.now());
+    return this.#waits.assignRetryDelay(
+      service,
+      share,
+      this.#parts.clock.now(),
+    );
   }
 
   /** Removes the state of an incarnation that has ended. */
   forget({ entry }: LimitedServer): void {
     this.#limitTable.forget(entry);
-    this.#ledger.forget(nameOfLife(entry));
+    this.#ledger.forget(incarnationId(entry));
   }
 
   /**
@@ -301,13 +327,13 @@
           .flatMap(({ id }) => this.#termsOf(id, owners) ?? []);
       })
       .map(({ id, terms }) => [id, this.#ledger.freePermits(terms)] as const);
-    metrics.byServer("turns_free", new Map(free));
+    metrics.gaugeByServer("turns_free", new Map(free));
   }
 
   #ownersOf(service: string): TimeSlotOwners {
     const parts = this.#parts;
     const now = parts.cautiousClock.now();
-    return this.#lenders.owners(service, now, parts.pace());
+    return this.#lenders.owners(service, now, parts.gossipIntervals());
   }
 
   #serviceOf(id: string): string | undefined {
@@ -321,22 +347,22 @@
     const server = this.#parts.server(id);
     const perSecond = server === undefined ? undefined : this.limitOf(server);
     if (server === undefined || perSecond === undefined) return undefined;
-    const incarnationName = nameOfLife(server.entry);
-    const time = this.#parts.agreedTime();
-    return { id, terms: { life: incarnationName, perSecond, time, owners } };
+    const incarnationName = incarnationId(server.entry);
+    const time = this.#parts.fleetTime();
+    return { id, terms: { incarnationName, perSecond, time, owners } };
   }
 
   #grantFirst(
     queried: readonly QueriedServer[],
-    urgency: TurnUrgency,
-  ): TurnReply {
+    urgency: PermitUrgency,
+  ): PermitReply {
     // The server with the most free permits is used least.
     const ranked = queried
       .map((one) => ({ ...one, free: this.#ledger.freePermits(one.terms) }))
       .toSorted((left, right) => right.free - left.free);
     const waits: number[] = [];
     const given = ranked.find(({ terms }) => {
-      const outcome: PermitOutcome = this.#ledger.give(terms, urgency);
+      const outcome: PermitOutcome = this.#ledger.grant(terms, urgency);
       if (outcome.kind === "wait") waits.push(outcome.milliseconds);
       return outcome.kind === "given";
     });
@@ -346,11 +372,11 @@
       : { kind: "wait", milliseconds: Math.min(...waits) };
   }
 
-  #recordReply(service: string, reply: TurnReply): TurnReply {
+  #recordReply(service: string, reply: PermitReply): PermitReply {
     const { clock, metrics } = this.#parts;
     metrics.event(`turn_${reply.kind === "given" ? "given" : "refused"}`);
     if (reply.kind === "wait") {
-      this.#waits.refused(service, reply.milliseconds, clock.now());
+      this.#waits.recordRefusal(service, reply.milliseconds, clock.now());
     }
     return reply;
   }
--- a/packages/rampswitch-serving/src/server_limits/server_permits_test.ts
+++ b/packages/rampswitch-serving/src/server_limits/server_permits_test.ts
@@ -5,9 +5,9 @@
 import { ServingMetrics } from "../observation/mod.ts";
 import {
   type LimitedServer,
-  ServerTurns,
-  type TurnReply,
-  type TurnRequest,
+  ServerPermits,
+  type PermitReply,
+  type PermitRequest,
 } from "./server_permits.ts";
 
 const SERVICE = "models";
@@ -18,7 +18,7 @@
 const [LIMITED = { entry: { id: "", born: 0, service: "" } }] = SERVERS;
 
 /** A query for a permit at one of all servers. */
-const REQUEST: TurnRequest = {
+const REQUEST: PermitRequest = {
   service: SERVICE,
   servers: ["s0", "s1", "s2"],
   urgency: "urgent",
@@ -26,7 +26,7 @@
 
 interface Fleet {
   readonly clock: ManualClock;
-  readonly hosts: ReadonlyMap<string, ServerTurns>;
+  readonly hosts: ReadonlyMap<string, ServerPermits>;
   /** Whether the holder answers queries. */
   answers: boolean;
   queries: number;
@@ -34,27 +34,27 @@
 
 function fleet(names: readonly string[]): Fleet {
   const clock = new ManualClock();
-  const hosts = new Map<string, ServerTurns>();
+  const hosts = new Map<string, ServerPermits>();
   const state: Fleet = { clock, hosts, answers: true, queries: 0 };
   names.forEach((host) =>
     hosts.set(
       host,
-      new ServerTurns({
+      new ServerPermits({
         host,
         clock,
         cautiousClock: clock,
         logger: SILENT_LOGGER,
         metrics: new ServingMetrics(),
-        agreedTime: () => clock.now(),
-        pace: () => INTERVALS,
+        fleetTime: () => clock.now(),
+        gossipIntervals: () => INTERVALS,
         hosts: () => names.length,
         server: (id) => SERVERS.find(({ entry }) => entry.id === id),
-        ask: (holder, request): Promise<TurnReply | undefined> => {
+        queryHolder: (holder, request): Promise<PermitReply | undefined> => {
           state.queries += 1;
           const holderHost = state.answers ? hosts.get(holder) : undefined;
-          return Promise.resolve(holderHost?.give(request));
+          return Promise.resolve(holderHost?.grant(request));
         },
-        tell: () => undefined,
+        broadcast: () => undefined,
       }),
     ),
   );
@@ -67,27 +67,27 @@
   for (let round = 0; round < count; round += 1) {
     clock.advance(INTERVALS.interval);
     hosts.forEach((from, name) => {
-      const update = from.news({ holders, tellsAll: true });
+      const update = from.updates({ holders, reportsAll: true });
       hosts.forEach((to, other) => {
-        if (other !== name) to.heard(name, { ...update, stopping: false }, 0);
+        if (other !== name) to.receive(name, { ...update, stopping: false }, 0);
       });
     });
   }
 }
 
 /** Returns the holder and the other host. */
-function rolesOf({ hosts }: Fleet): readonly [ServerTurns, ServerTurns] {
+function rolesOf({ hosts }: Fleet): readonly [ServerPermits, ServerPermits] {
   const [, first] = [...hosts][0] ?? [];
   const [, second] = [...hosts][1] ?? [];
   if (first === undefined || second === undefined) throw new Error("two hosts");
-  const isFirstHolder = first.give(REQUEST).kind === "given";
+  const isFirstHolder = first.grant(REQUEST).kind === "given";
   return isFirstHolder ? [first, second] : [second, first];
 }
 
 function limitedFleet(perSecond: number): Fleet {
   const state = fleet(["a", "b"]);
   const [first] = [...state.hosts.values()];
-  SERVERS.forEach((server) => first?.read(server, perSecond));
+  SERVERS.forEach((server) => first?.recordAdvertised(server, perSecond));
   rounds(state, 12);
   return state;
 }
@@ -97,7 +97,7 @@
     const state = limitedFleet(5);
     const [, other] = rolesOf(state);
     rounds(state, 4);
-    const reply = await other.take(REQUEST);
+    const reply = await other.acquire(REQUEST);
     expect(reply.kind).toBe("given");
     expect(state.queries).toBe(1);
   });
@@ -105,26 +105,28 @@
   test("are not requested again before the next one is free", async () => {
     const state = limitedFleet(1);
     const [, other] = rolesOf(state);
-    let reply: TurnReply = { kind: "given", server: "" };
-    while (reply.kind === "given") reply = await other.take(REQUEST);
+    let reply: PermitReply = { kind: "given", server: "" };
+    while (reply.kind === "given") reply = await other.acquire(REQUEST);
     expect(reply.milliseconds).toBeLessThanOrEqual(1_000);
     const before = state.queries;
-    await other.take(REQUEST);
+    await other.acquire(REQUEST);
     expect(state.queries).toBe(before);
     state.clock.advance(500);
-    await other.take(REQUEST);
+    await other.acquire(REQUEST);
     expect(state.queries).toBe(before + 1);
   });
 
   test("are refused with a retry delay until the next one is free", async () => {
     const state = limitedFleet(0.25);
     const [holder] = rolesOf(state);
-    let reply: TurnReply = { kind: "given", server: "" };
-    while (reply.kind === "given") reply = await holder.take(REQUEST);
+    let reply: PermitReply = { kind: "given", server: "" };
+    while (reply.kind === "given") reply = await holder.acquire(REQUEST);
     // A time slot of four seconds has just begun, or is about to end.
-    const retryDelay = holder.waitToTell(SERVICE, SERVERS);
+    const retryDelay = holder.assignRetryDelay(SERVICE, SERVERS);
     expect(retryDelay).toBe(reply.milliseconds);
-    expect(holder.waitToTell(SERVICE, SERVERS)).toBeGreaterThan(retryDelay);
+    expect(holder.assignRetryDelay(SERVICE, SERVERS)).toBeGreaterThan(
+      retryDelay,
+    );
   });
 
   test("are not granted while the holder is unresponsive", async () => {
@@ -132,7 +134,7 @@
     const [, other] = rolesOf(state);
     state.answers = false;
     rounds(state, 4);
-    expect((await other.take(REQUEST)).kind).toBe("wait");
+    expect((await other.acquire(REQUEST)).kind).toBe("wait");
   });
 
   test("are not granted for unknown servers and servers without a limit", () => {
@@ -140,7 +142,7 @@
     const [holder] = rolesOf(state);
     rounds(state, 4);
     holder.forget(LIMITED);
-    expect(holder.give({ ...REQUEST, servers: ["gone", "s0"] }).kind).toBe(
+    expect(holder.grant({ ...REQUEST, servers: ["gone", "s0"] }).kind).toBe(
       "wait",
     );
   });
@@ -148,7 +150,7 @@
   test("are granted for a probe where a server's limit was not reported for long", () => {
     const state = limitedFleet(5);
     const [holder, other] = rolesOf(state);
-    holder.read(LIMITED, 5);
+    holder.recordAdvertised(LIMITED, 5);
     rounds(state, 4);
     expect(holder.probe(SERVICE, [LIMITED]).kind).toBe("wait");
     rounds(state, 8);
@@ -157,8 +159,8 @@
       kind: "given",
       server: "s0",
     });
-    expect(other.unheard([LIMITED])).toEqual([]);
+    expect(other.withoutRecentReport([LIMITED])).toEqual([]);
     rounds(state, 12);
-    expect(other.unheard([LIMITED])).toEqual([LIMITED]);
+    expect(other.withoutRecentReport([LIMITED])).toEqual([LIMITED]);
   });
 });
--- a/packages/rampswitch-serving/src/server_listing.ts
+++ b/packages/rampswitch-serving/src/server_listing.ts
@@ -11,7 +11,7 @@
 import type { BackendClient } from "./attempt/mod.ts";
 import type {
   EntryOutcome,
-  PrefixKnowledge,
+  PrefixCacheEstimate,
   ServerDirectory,
   ServerRecord,
 } from "./choice/mod.ts";
@@ -20,7 +20,7 @@
 import type { Quarantine } from "./quarantine/mod.ts";
 import type { Rollouts } from "./rollout/mod.ts";
 import type { RecentDispatches } from "./relay/recent_dispatches.ts";
-import type { ServerTurns } from "./server_limits/mod.ts";
+import type { ServerPermits } from "./server_limits/mod.ts";
 import type { RequestRun } from "./relay/request_run.ts";
 
 /** Parts that hold state of backend servers. */
@@ -31,11 +31,11 @@
   readonly metrics: ServingMetrics;
   readonly directory: ServerDirectory;
   readonly client: BackendClient;
-  readonly prefixes: PrefixKnowledge;
+  readonly prefixes: PrefixCacheEstimate;
   readonly dispatches: RecentDispatches;
   readonly quarantine: Quarantine;
   readonly rollouts: Rollouts;
-  readonly permits: ServerTurns;
+  readonly permits: ServerPermits;
   /** Requests in progress. */
   runs(): readonly RequestRun[];
 }
@@ -121,7 +121,7 @@
    */
   #recordUnannouncedEnd(record: ServerRecord | undefined): void {
     if (record === undefined || record.leavingSince !== undefined) return;
-    this.#parts.quarantine.lifeEnded(record.life);
+    this.#parts.quarantine.incarnationEnded(record.incarnation);
   }
 
   /** Discards all state of a restarted server's former incarnation. */
--- a/packages/rampswitch-serving/src/serving_host.ts
+++ b/packages/rampswitch-serving/src/serving_host.ts
@@ -21,8 +21,8 @@
 } from "./admission/mod.ts";
 import { BackendClient } from "./attempt/mod.ts";
 import {
-  KnownPlaces,
-  PrefixKnowledge,
+  SlotTotalsCache,
+  PrefixCacheEstimate,
   ServerDirectory,
   type ServerRecord,
 } from "./choice/mod.ts";
@@ -39,7 +39,7 @@
   Membership,
   newsLagMilliseconds,
   PACE_BY_ROLE,
-  PromptNews,
+  PromptBroadcast,
 } from "./membership/mod.ts";
 import type { Cloud } from "./model/cloud.ts";
 import type { EngineControl } from "./model/engine_control.ts";
@@ -60,11 +60,11 @@
 import { ReadingRates } from "./relay/reading_rates.ts";
 import type { RequestContext } from "./relay/request_context.ts";
 import { waitUntilIdle } from "./planned_stop.ts";
-import { ServerTurns, TurnWaits } from "./server_limits/mod.ts";
+import { ServerPermits, PermitWaits } from "./server_limits/mod.ts";
 import {
-  LeavingStatements,
-  RestStatements,
-  StatementReader,
+  LeavingAdvertisements,
+  BackOffAdvertisements,
+  AdvertisementReader,
 } from "./statements/mod.ts";
 import { ServerListing } from "./server_listing.ts";
 import {
@@ -127,7 +127,7 @@
   readonly #ownership = new Ownership();
   readonly #lifecycle = new ServingLifecycle();
   readonly #directory = new ServerDirectory();
-  readonly #prefixes = new PrefixKnowledge();
+  readonly #prefixes = new PrefixCacheEstimate();
   readonly #limits: WorkspaceLimits;
   readonly #admission: FleetAdmission;
   readonly #budget: ResendBudget;
@@ -140,11 +140,11 @@
   readonly #readingRates = new ReadingRates();
   readonly #holdTimes = new HoldTimes();
   readonly #arrivalRates: ArrivalRates;
-  readonly #slotTotals = new KnownPlaces();
-  readonly #permits: ServerTurns;
-  readonly #backOffWaits = new TurnWaits();
-  readonly #leavingAdvertisements: LeavingStatements;
-  readonly #advertisements: StatementReader;
+  readonly #slotTotals = new SlotTotalsCache();
+  readonly #permits: ServerPermits;
+  readonly #backOffWaits = new PermitWaits();
+  readonly #leavingAdvertisements: LeavingAdvertisements;
+  readonly #advertisements: AdvertisementReader;
   readonly #dispatches = new RecentDispatches();
   readonly #meter: LoadMeter;
   readonly #client: BackendClient;
@@ -170,16 +170,16 @@
       clock: ports.clock,
       limits: this.#limits,
       metrics: ports.metrics,
-      asks: () => this.#membership?.role === "member",
+      hasRelays: () => this.#membership?.role === "member",
       deciders: () => this.#membership?.deciders,
-      ask: async (request) => this.#membership?.ask(request),
+      queryRelay: async (request) => this.#membership?.queryLimit(request),
     });
     this.#budget = new ResendBudget(resendTerms(bounds), ports.clock.now());
     this.#quarantine = new Quarantine({
       ...ports,
-      turn: (fingerprint) =>
-        this.#membership?.turn(fingerprint) ?? SINGLE_HOST_POSITION,
-      onStoredChange: () => this.#quarantineStore.changed(),
+      trialRank: (fingerprint) =>
+        this.#membership?.rankFor(fingerprint) ?? SINGLE_HOST_POSITION,
+      onStoredChange: () => this.#quarantineStore.scheduleWrite(),
     });
     this.#quarantineStore = this.#ownership.own(
       new QuarantineStore({
@@ -194,11 +194,11 @@
         ...ports,
         directory: this.#directory,
         terms: () => exposureTerms(this.#settings.bounds),
-        place: (key) => ({
-          rank: this.#membership?.turn(key).rank ?? 0,
+        fleetPosition: (key) => ({
+          rank: this.#membership?.rankFor(key).rank ?? 0,
           hosts: this.#membership?.size ?? 1,
         }),
-        judge: () => new VersionJudge(),
+        createEvaluator: () => new VersionJudge(),
         onPromoting: () => this.#scheduleVersionCheck(),
         onUnknownVersion: () => this.#rolloutStore.unknownVersion(),
       },
@@ -208,53 +208,54 @@
       new RolloutStore({
         ...ports,
         rollouts: this.#rollouts,
-        orders: ports.rolloutOrders,
-        hearsOrders: () => this.#membership?.role === "member",
+        adapter: ports.rolloutOrders,
+        receivesSpecs: () => this.#membership?.role === "member",
         holdsDuties: () => this.#duties.isHolder,
       }),
     );
     this.#ownership.defer(() => this.#cancelVersionCheck());
-    const promptUpdates = new PromptNews(ports.clock, () =>
-      this.#membership?.tell(),
+    const promptUpdates = new PromptBroadcast(ports.clock, () =>
+      this.#membership?.broadcast(),
     );
-    this.#permits = new ServerTurns({
+    this.#permits = new ServerPermits({
       ...ports,
       host: settings.host,
       cautiousClock: this.#cautiousClock,
-      agreedTime: () => this.#fleetTime(),
-      pace: () => PACE_BY_ROLE[this.#membership?.role ?? "direct"],
+      fleetTime: () => this.#fleetTime(),
+      gossipIntervals: () => PACE_BY_ROLE[this.#membership?.role ?? "direct"],
       hosts: () => this.#membership?.size ?? 1,
       server: (id) => this.#directory.get(id),
-      ask: async (holder, request) =>
-        this.#membership?.askTurn(holder, request),
-      tell: () => promptUpdates.came(),
+      queryHolder: async (holder, request) =>
+        this.#membership?.queryPermit(holder, request),
+      broadcast: () => promptUpdates.trigger(),
     });
-    this.#leavingAdvertisements = new LeavingStatements({
+    this.#leavingAdvertisements = new LeavingAdvertisements({
       ...ports,
       directory: this.#directory,
-      onNews: () => promptUpdates.came(),
+      onUpdate: () => promptUpdates.trigger(),
     });
-    const backOffs = new RestStatements({
+    const backOffs = new BackOffAdvertisements({
       ...ports,
       hosts: () => this.#membership?.size ?? 1,
       holdMilliseconds: (service) => this.#holdTimes.of(service),
     });
-    this.#advertisements = new StatementReader({
+    this.#advertisements = new AdvertisementReader({
       ...ports,
       handlers: {
         limit: {
-          holdsLate: false,
-          take: (record, perSecond) => this.#permits.read(record, perSecond),
+          appliesLate: false,
+          receive: (record, perSecond) =>
+            this.#permits.recordAdvertised(record, perSecond),
         },
         leaving: {
-          holdsLate: true,
-          take: (record, leaves) => {
+          appliesLate: true,
+          receive: (record, leaves) => {
             if (leaves !== undefined) this.#leavingAdvertisements.read(record);
           },
         },
         rest: {
-          holdsLate: false,
-          take: (record, milliseconds) => {
+          appliesLate: false,
+          receive: (record, milliseconds) => {
             if (milliseconds !== undefined) backOffs.read(record, milliseconds);
           },
         },
@@ -282,14 +283,14 @@
         isTimeSettled: () => this.#membership?.isTimeSettled === true,
         rollouts: this.#rollouts,
         rolloutStore: this.#rolloutStore,
-        lives: () => this.#membership?.lives ?? [],
+        peerIncarnations: () => this.#membership?.incarnations ?? [],
         load: (service) => this.#gossip.load(service),
         holdMilliseconds: (service) => this.#holdTimes.of(service),
         limitOf: (record) => this.#permits.limitOf(record),
-        idle: () => this.#meter.idle,
+        isIdle: () => this.#meter.idle,
         routes: () =>
           this.#follower.serversListed ? this.#follower.routes : undefined,
-        eligible: () => this.#membership?.mayHoldDuties === true,
+        isEligible: () => this.#membership?.canHoldDuties === true,
       }),
     );
     const listing = new ServerListing({
@@ -336,11 +337,11 @@
       rollouts: this.#rollouts,
       permits: this.#permits,
       leavingAdvertisements: this.#leavingAdvertisements,
-      permitHolders: () => this.#membership?.turnHolders ?? [],
+      permitHolders: () => this.#membership?.permitHolders ?? [],
       fleetTime: () => this.#fleetTime(),
       stopping: () => this.#lifecycle.state === "stopping",
       requestConfiguration: (relay) =>
-        this.#membership?.askConfiguration(relay),
+        this.#membership?.requestConfiguration(relay),
     });
   }
 
@@ -388,7 +389,7 @@
     this.#lifecycle.stopStartedAt = startedAt;
     logger.info("stopping", { inProgress: this.#callers.inProgress });
     await this.#duties.release();
-    this.#membership?.tell();
+    this.#membership?.broadcast();
     await waitUntilIdle(this.#callers, clock, {
       startedAt,
       graceMilliseconds: this.#settings.bounds.graceMilliseconds,
@@ -447,22 +448,22 @@
         address: this.#settings.addresses.peers,
       },
       {
-        ownNews: (message) => this.#gossip.ownUpdate(message),
+        ownUpdate: (message) => this.#gossip.ownUpdate(message),
         stopping: () => this.#lifecycle.state === "stopping",
         viewFor: (host) => this.#gossip.viewFor(host),
-        onNews: (news, age) => this.#gossip.receiveUpdate(news, age),
+        onUpdate: (news, age) => this.#gossip.receiveUpdate(news, age),
         onDigest: (digest) => this.#gossip.receiveDigest(digest),
         configuration: () => this.#follower.newestConfiguration(),
         onConfiguration: (changes) =>
           this.#follower.receiveConfiguration(changes),
-        onQuestion: (request) => this.#admission.decide(request),
-        onTurnQuestion: (request) => this.#permits.give(request),
-        onUnused: (request) => this.#admission.giveBack(request),
+        onLimitQuery: (request) => this.#admission.decide(request),
+        onPermitQuery: (request) => this.#permits.grant(request),
+        onUnusedAdmission: (request) => this.#admission.refund(request),
         onListed: (hosts) => {
-          this.#limits.hostsListed();
+          this.#limits.markHostsListed();
           hosts.forEach((host) => {
-            this.#limits.expected(host, this.#ports.clock.now());
-            this.#permits.expected(host);
+            this.#limits.addExpectedPeer(host, this.#ports.clock.now());
+            this.#permits.expectHost(host);
           });
         },
       },
@@ -486,13 +487,13 @@
       readingRates: this.#readingRates,
       holdTimes: this.#holdTimes,
       arrivalRates: this.#arrivalRates,
-      places: this.#slotTotals,
+      slotTotals: this.#slotTotals,
       admission: this.#admission,
       budget: this.#budget,
       quarantine: this.#quarantine,
       rollouts: this.#rollouts,
-      turns: this.#permits,
-      restWaits: this.#backOffWaits,
+      permits: this.#permits,
+      backOffWaits: this.#backOffWaits,
       statements: this.#advertisements,
       configuration: () => ({
         routes: this.#follower.routes,
@@ -502,13 +503,14 @@
       hosts: () => this.#membership?.size ?? 1,
       listedHosts: () => this.#membership?.listedSize,
       drainMilliseconds: () => this.#settings.bounds.drainMilliseconds,
-      newsLagMilliseconds: () =>
+      gossipLagMilliseconds: () =>
         newsLagMilliseconds(this.#membership?.role ?? "direct"),
-      hearsDispatches: () => (this.#membership?.role ?? "direct") === "direct",
-      startsRequests: () => this.#startsRequests(),
-      endsConnections: () => this.#lifecycle.state === "stopping",
+      receivesDispatches: () =>
+        (this.#membership?.role ?? "direct") === "direct",
+      acceptsRequests: () => this.#startsRequests(),
+      closesConnections: () => this.#lifecycle.state === "stopping",
       began: (workspace) =>
-        this.#duties.usage.began(workspace, this.#fleetTime()),
+        this.#duties.usage.countRequest(workspace, this.#fleetTime()),
       dispatched: ({ entry }, dispatch) => {
         this.#dispatches.add(entry, dispatch.parts);
         this.#meter.read(dispatch.service, dispatch.unreadTokens);
@@ -544,11 +546,11 @@
   }
 
   #fleetTime(): number {
-    return this.#membership?.agreedWallTime() ?? this.#ports.wallTime();
+    return this.#membership?.fleetWallTime() ?? this.#ports.wallTime();
   }
 
   #serverLeaving(record: ServerRecord): void {
-    void this.#leavingServers.left(record);
+    void this.#leavingServers.scheduleMigration(record);
     const { entry } = record;
     const announced = this.#directory.get(entry.id) === record;
     if (!entry.reclaimable || !announced) return;
@@ -560,15 +562,22 @@
           other.entry.reclaimable &&
           other.entry.dataHall === entry.dataHall,
       ).length;
-    this.#duties.reclaimableLeaves(entry.service, entry.dataHall, remaining);
+    this.#duties.recordAnnouncedReclaim(
+      entry.service,
+      entry.dataHall,
+      remaining,
+    );
   }
 
   /** Migrates runs away from versions that are left, and broadcasts when done. */
   #vacateVersions(): void {
     const now = this.#ports.clock.now();
-    this.#leavingServers.leave((record) => this.#rollouts.isLeft(record, now));
-    const { goesOn, isNews } = this.#rollouts.leaving(now);
-    if (isNews) this.#membership?.tell();
+    this.#leavingServers.migrateRuns((record) =>
+      this.#rollouts.shouldMigrate(record, now),
+    );
+    const { isPromoting: goesOn, hasChanged: isNews } =
+      this.#rollouts.promotionProgress(now);
+    if (isNews) this.#membership?.broadcast();
     if (goesOn) this.#scheduleVersionCheck();
   }
 
@@ -583,7 +592,7 @@
   #configured(routes: RouteIndex): void {
     const { configuration } = routes;
     this.#limits.configure(configuration.workspaces, this.#ports.clock.now());
-    this.#callers.limit(configuration.callerLimits);
+    this.#callers.setLimits(configuration.callerLimits);
     if (this.#lifecycle.handle({ type: "prepared" })) {
       this.#ports.logger.info("serving", { version: configuration.version });
     }
--- a/packages/rampswitch-serving/src/serving_settings.ts
+++ b/packages/rampswitch-serving/src/serving_settings.ts
@@ -48,7 +48,7 @@
 export function limitTolerance(bounds: ServingBounds): LimitTolerance {
   return {
     slackTokens: bounds.limitSlackTokens,
-    overShare: bounds.limitOverShare,
+    excessShare: bounds.limitOverShare,
     windowMilliseconds: bounds.limitWindowMilliseconds,
   };
 }
--- a/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/back_off_advertisements.ts
@@ -25,7 +25,7 @@
  * Returns the interval over which hosts return to a server after a back-off, in
  * milliseconds. The server can serve one request of each host in it.
  */
-export function returnMilliseconds({
+export function returnSpreadMilliseconds({
   hosts,
   holdMilliseconds,
   slots,
@@ -47,7 +47,7 @@
 }
 
 /** Applies and logs the back-offs that servers request from this host. */
-export class RestStatements {
+export class BackOffAdvertisements {
   readonly #parts: BackOffAdvertisementsParts;
 
   constructor(parts: BackOffAdvertisementsParts) {
@@ -59,18 +59,18 @@
    *
    * @param milliseconds requested length
    */
-  read({ entry, rest }: ServerRecord, milliseconds: number): void {
+  read({ entry, backOff }: ServerRecord, milliseconds: number): void {
     const { clock, random, logger, metrics } = this.#parts;
-    const spreadMilliseconds = returnMilliseconds({
+    const spreadMilliseconds = returnSpreadMilliseconds({
       hosts: this.#parts.hosts(),
       holdMilliseconds: this.#parts.holdMilliseconds(entry.service),
       slots: entry.slots,
     });
     const returnDelayMilliseconds = spreadMilliseconds * random.next();
-    rest.asked({
+    backOff.requested({
       now: clock.now(),
       milliseconds,
-      returnsAfter: returnDelayMilliseconds,
+      returnDelay: returnDelayMilliseconds,
     });
     metrics.event("server_asked_rest");
     logger.info("server asks for a rest", {
--- a/packages/rampswitch-serving/src/statements/engine_report.ts
+++ b/packages/rampswitch-serving/src/statements/engine_report.ts
@@ -8,24 +8,24 @@
  */
 import type { ServerRecord } from "../choice/mod.ts";
 import type { EngineControl, EngineReport } from "../model/engine_control.ts";
-import type { StatementReader } from "./server_advertisements.ts";
+import type { AdvertisementReader } from "./server_advertisements.ts";
 
 /**
  * Requests the report of the engine at a server's address; `undefined` if nothing
  * answers. Its advertised state is applied only if the report names the incarnation
  * of the record, since another process may listen at the address by now.
  */
-export async function toldReport(
+export async function readEngineReport(
   record: ServerRecord,
   parts: {
     readonly engineControl: EngineControl;
-    readonly statements: StatementReader;
+    readonly statements: AdvertisementReader;
   },
 ): Promise<EngineReport | undefined> {
   const report = await parts.engineControl.report(record.entry.address);
   const namesIncarnation = report?.born !== undefined;
-  if (namesIncarnation && record.isLife(report.born)) {
-    parts.statements.read(record, report.says, { isLate: true });
+  if (namesIncarnation && record.matchesIncarnation(report.born)) {
+    parts.statements.read(record, report.advertised, { isLate: true });
   }
   return report;
 }
--- a/packages/rampswitch-serving/src/statements/leaving_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/leaving_advertisements.ts
@@ -8,11 +8,11 @@
  */
 import type { Clock, Logger } from "rampswitch-utils";
 import type {
-  LeavingNews,
+  LeavingUpdate,
   ServerDirectory,
   ServerRecord,
 } from "../choice/mod.ts";
-import type { ServerLife } from "../model/backend_server.ts";
+import type { ServerIncarnation } from "../model/backend_server.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
 /** Dependencies of the handler of leaving servers. */
@@ -23,11 +23,11 @@
   readonly metrics: ServingMetrics;
   readonly directory: ServerDirectory;
   /** Called when there is an update that other hosts should receive at once. */
-  onNews(): void;
+  onUpdate(): void;
 }
 
 /** Records, logs and reports servers that advertise that they leave. */
-export class LeavingStatements {
+export class LeavingAdvertisements {
   readonly #parts: LeavingAdvertisementsParts;
 
   constructor(parts: LeavingAdvertisementsParts) {
@@ -41,7 +41,7 @@
     const advertised = { since: now, now, origin: "answer" as const };
     if (!directory.advertisedLeaving(entry, advertised)) return;
     this.#log(entry, { from: "answer", age: 0 });
-    this.#parts.onNews();
+    this.#parts.onUpdate();
   }
 
   /**
@@ -49,7 +49,7 @@
    *
    * @param age age of the report, in milliseconds
    */
-  heard(incarnations: readonly LeavingNews[], age: number): void {
+  received(incarnations: readonly LeavingUpdate[], age: number): void {
     const { clock, directory } = this.#parts;
     const now = clock.now();
     incarnations
@@ -73,13 +73,13 @@
    * Returns what to report to other hosts. With `ownOnly`, leaves out incarnations that
    * other hosts reported.
    */
-  news(options: { readonly ownOnly: boolean }): readonly LeavingNews[] {
+  updates(options: { readonly ownOnly: boolean }): readonly LeavingUpdate[] {
     const { clock, directory } = this.#parts;
     return directory.leavingUpdates(clock.now(), options);
   }
 
   #log(
-    { id, born }: ServerLife,
+    { id, born }: ServerIncarnation,
     { from, age }: { readonly from: "answer" | "peer"; readonly age: number },
   ): void {
     this.#parts.metrics.event("server_said_leaving");
--- a/packages/rampswitch-serving/src/statements/server_advertisements.ts
+++ b/packages/rampswitch-serving/src/statements/server_advertisements.ts
@@ -8,21 +8,21 @@
  */
 import type { Logger } from "rampswitch-utils";
 import type { ServerRecord } from "../choice/mod.ts";
-import type { ServerStatements, Statement } from "../model/request.ts";
+import type { ServerAdvertisements, Advertised } from "../model/request.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 
 /** Name of one kind of advertisement. */
-type AdvertisementName = keyof ServerStatements;
+type AdvertisementName = keyof ServerAdvertisements;
 
 type ValueOf<Name extends AdvertisementName> =
-  ServerStatements[Name] extends Statement<infer Value> ? Value : never;
+  ServerAdvertisements[Name] extends Advertised<infer Value> ? Value : never;
 
 /** Handler of one kind of advertisement. */
 interface AdvertisementHandler<Value> {
   /** Whether the advertisement also applies in an answer to an earlier request. */
-  readonly holdsLate: boolean;
+  readonly appliesLate: boolean;
   /** Applies the value in an answer; `undefined` if the answer has none. */
-  take(record: ServerRecord, value: Value | undefined): void;
+  receive(record: ServerRecord, value: Value | undefined): void;
 }
 
 /** Handlers by kind of advertisement. */
@@ -44,7 +44,7 @@
 const MAXIMUM_LOGGED_UNREADABLE = 1_000;
 
 /** Reads the state that servers advertise. */
-export class StatementReader {
+export class AdvertisementReader {
   readonly #parts: AdvertisementReaderParts;
   readonly #unreadable = new Set<string>();
 
@@ -55,7 +55,7 @@
   /** Passes all advertisements of one answer to their handlers. */
   read(
     record: ServerRecord,
-    advertised: ServerStatements,
+    advertised: ServerAdvertisements,
     options: {
       /** Whether the answer belongs to another request than the waiting one. */
       readonly isLate: boolean;
@@ -63,14 +63,16 @@
   ): void {
     const names = Object.keys(advertised) as AdvertisementName[];
     names
-      .filter((name) => !options.isLate || this.#parts.handlers[name].holdsLate)
+      .filter(
+        (name) => !options.isLate || this.#parts.handlers[name].appliesLate,
+      )
       .forEach((name) => this.#readOne(name, record, advertised[name]));
   }
 
   #readOne(
     name: AdvertisementName,
     record: ServerRecord,
-    advertisement: Statement<unknown>,
+    advertisement: Advertised<unknown>,
   ): void {
     if (advertisement.kind === "unreadable") {
       this.#logUnreadable(name, record, advertisement.text);
@@ -79,7 +81,7 @@
     const value =
       advertisement.kind === "said" ? advertisement.value : undefined;
     const handler = this.#parts.handlers[name] as AdvertisementHandler<unknown>;
-    handler.take(record, value);
+    handler.receive(record, value);
   }
 
   #logUnreadable(
--- a/packages/rampswitch-serving/src/statements/server_advertisements_test.ts
+++ b/packages/rampswitch-serving/src/statements/server_advertisements_test.ts
@@ -3,10 +3,10 @@
 import { describe, expect, test } from "@jest/globals";
 import { SILENT_LOGGER } from "rampswitch-utils";
 import { ServerRecord } from "../choice/mod.ts";
-import type { ServerStatements } from "../model/request.ts";
+import type { ServerAdvertisements } from "../model/request.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { StatementReader } from "./server_advertisements.ts";
-import { SAYS_NOTHING } from "./statements_standin.ts";
+import { AdvertisementReader } from "./server_advertisements.ts";
+import { NOTHING_ADVERTISED } from "./statements_standin.ts";
 
 const RECORD = new ServerRecord({
   id: "s1",
@@ -23,7 +23,7 @@
 function reading() {
   const lines: string[] = [];
   const taken: (readonly [string, unknown])[] = [];
-  const reader = new StatementReader({
+  const reader = new AdvertisementReader({
     logger: {
       ...SILENT_LOGGER,
       info: (message, { text } = {}) =>
@@ -32,16 +32,16 @@
     metrics: new ServingMetrics(),
     handlers: {
       limit: {
-        holdsLate: false,
-        take: (_, value) => taken.push(["limit", value]),
+        appliesLate: false,
+        receive: (_, value) => taken.push(["limit", value]),
       },
       leaving: {
-        holdsLate: true,
-        take: (_, value) => taken.push(["leaving", value]),
+        appliesLate: true,
+        receive: (_, value) => taken.push(["leaving", value]),
       },
       rest: {
-        holdsLate: false,
-        take: (_, value) => {
+        appliesLate: false,
+        receive: (_, value) => {
           if (value !== undefined) taken.push(["rest", value]);
         },
       },
@@ -50,8 +50,10 @@
   return { reader, lines, taken };
 }
 
-function advertising(advertised: Partial<ServerStatements>): ServerStatements {
-  return { ...SAYS_NOTHING, ...advertised };
+function advertising(
+  advertised: Partial<ServerAdvertisements>,
+): ServerAdvertisements {
+  return { ...NOTHING_ADVERTISED, ...advertised };
 }
 
 describe("advertised state in an answer", () => {
--- a/packages/rampswitch-serving/src/statements/statements_standin.ts
+++ b/packages/rampswitch-serving/src/statements/statements_standin.ts
@@ -6,21 +6,21 @@
  * @module
  */
 import { SILENT_LOGGER } from "rampswitch-utils";
-import type { ServerStatements } from "../model/request.ts";
+import type { ServerAdvertisements } from "../model/request.ts";
 import { ServingMetrics } from "../observation/mod.ts";
-import { StatementReader } from "./server_advertisements.ts";
+import { AdvertisementReader } from "./server_advertisements.ts";
 
 /** The state of an answer that advertises nothing. */
-export const SAYS_NOTHING: ServerStatements = {
+export const NOTHING_ADVERTISED: ServerAdvertisements = {
   limit: { kind: "nothing" },
   leaving: { kind: "nothing" },
   rest: { kind: "nothing" },
 };
 
 /** Creates a reader whose handlers ignore all advertisements. */
-export function silentStatements(): StatementReader {
-  const ignored = { holdsLate: false, take: () => undefined };
-  return new StatementReader({
+export function ignoringAdvertisementReader(): AdvertisementReader {
+  const ignored = { appliesLate: false, receive: () => undefined };
+  return new AdvertisementReader({
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
     handlers: { limit: ignored, leaving: ignored, rest: ignored },
