--- a/packages/rampswitch-serving/src/admission/mod.ts
+++ b/packages/rampswitch-serving/src/admission/mod.ts
@@ -6,7 +6,7 @@
  * @module
  */
 export * from "./fleet_admission.ts";
-export type * from "./peer_spending.ts";
+export type * from "./peer_consumption.ts";
 export * from "./resend_budget.ts";
-export type * from "./spending_pacer.ts";
+export type * from "./consumption_pacer.ts";
 export * from "./workspace_limits.ts";
--- a/packages/rampswitch-serving/src/admission/peer_spending.ts
+++ b/packages/rampswitch-serving/src/admission/peer_consumption.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import type { GossipTiming } from "./spending_pacer.ts";
+import type { GossipTiming } from "./consumption_pacer.ts";
 
 /**
  * Number of hosts that is assumed before the list of hosts was read. All hosts
--- a/packages/rampswitch-serving/src/admission/workspace_limits.ts
+++ b/packages/rampswitch-serving/src/admission/workspace_limits.ts
@@ -16,12 +16,12 @@
   type AdmittedTotals,
   PeerConsumptionTracker,
   type ConsumptionUpdate,
-} from "./peer_spending.ts";
+} from "./peer_consumption.ts";
 import {
   type AdmissionContext,
   ConsumptionPacer,
   type GossipTiming,
-} from "./spending_pacer.ts";
+} from "./consumption_pacer.ts";
 
 /**
  * Share of a full bucket above which a host of a large fleet admits on its own,
--- a/packages/rampswitch-serving/src/statements/server_advertisements_test.ts
+++ b/packages/rampswitch-serving/src/advertisements/server_advertisements_test.ts
@@ -6,7 +6,7 @@
 import type { ServerAdvertisements } from "../model/request.ts";
 import { ServingMetrics } from "../observation/mod.ts";
 import { AdvertisementReader } from "./server_advertisements.ts";
-import { NOTHING_ADVERTISED } from "./statements_standin.ts";
+import { NOTHING_ADVERTISED } from "./advertisements_standin.ts";
 
 const RECORD = new ServerRecord({
   id: "s1",
--- a/packages/rampswitch-serving/src/duties/duty_keeper.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper.ts
@@ -14,7 +14,7 @@
   type Repetition,
 } from "rampswitch-utils";
 import { eraOf, type ObjectStore, type StoredObject } from "rampswitch-store";
-import type { LeaseUpdate } from "../membership/peer_news.ts";
+import type { LeaseUpdate } from "../membership/peer_messages.ts";
 import type { Fence } from "../model/cloud.ts";
 import type { ServingMetrics } from "../observation/mod.ts";
 import {
--- a/packages/rampswitch-serving/src/duties/usage_counter.ts
+++ b/packages/rampswitch-serving/src/duties/usage_counter.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import type { WindowCounts } from "../membership/peer_news.ts";
+import type { WindowCounts } from "../membership/peer_messages.ts";
 
 /** Number of windows retained after their end; longer than a takeover takes. */
 const RETAINED_WINDOWS = 5;
--- a/packages/rampswitch-serving/src/host_gossip.ts
+++ b/packages/rampswitch-serving/src/host_gossip.ts
@@ -31,7 +31,7 @@
   ServerPermits,
   PermitUpdate,
 } from "./server_limits/mod.ts";
-import type { LeavingAdvertisements } from "./statements/mod.ts";
+import type { LeavingAdvertisements } from "./advertisements/mod.ts";
 import type { RecentDispatches } from "./relay/recent_dispatches.ts";
 import type { LoadMeter } from "./relay/load_meter.ts";
 import type { ReadingRates } from "./relay/reading_rates.ts";
--- a/packages/rampswitch-serving/src/membership/fleet_hosts.ts
+++ b/packages/rampswitch-serving/src/membership/fleet_hosts.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import type { FleetDigest, PeerUpdate } from "./peer_news.ts";
+import type { FleetDigest, PeerUpdate } from "./peer_messages.ts";
 import {
   DIRECT_GOSSIP_TIMING,
   needsRelays,
--- a/packages/rampswitch-serving/src/membership/limit_queries.ts
+++ b/packages/rampswitch-serving/src/membership/limit_queries.ts
@@ -8,7 +8,7 @@
  */
 import type { Clock } from "rampswitch-utils";
 import type { LimitDecision } from "../admission/mod.ts";
-import type { LimitAnswer, LimitQuery } from "./peer_news.ts";
+import type { LimitAnswer, LimitQuery } from "./peer_messages.ts";
 import { PendingQueries } from "./pending_queries.ts";
 
 /** The request that a relay decides on. */
--- a/packages/rampswitch-serving/src/membership/membership.ts
+++ b/packages/rampswitch-serving/src/membership/membership.ts
@@ -39,7 +39,7 @@
   PeerMessage,
   PeerUpdate,
   PermitQuery,
-} from "./peer_news.ts";
+} from "./peer_messages.ts";
 import { openPeerTransport, type PeerTransport } from "./peer_transport.ts";
 
 /** Time without a round of gossip, in intervals, that indicates a paused process. */
--- a/packages/rampswitch-serving/src/membership/membership_test.ts
+++ b/packages/rampswitch-serving/src/membership/membership_test.ts
@@ -20,7 +20,7 @@
 import { ServingMetrics } from "../observation/mod.ts";
 import { Membership, type OwnUpdate } from "./membership.ts";
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
-import type { FleetDigest, PeerMessage, PeerUpdate } from "./peer_news.ts";
+import type { FleetDigest, PeerMessage, PeerUpdate } from "./peer_messages.ts";
 
 const OWN_UPDATE: OwnUpdate = {
   leaving: [{ id: "s9", born: 7, age: 20 }],
--- a/packages/rampswitch-serving/src/membership/mod.ts
+++ b/packages/rampswitch-serving/src/membership/mod.ts
@@ -13,7 +13,7 @@
 } from "./fleet_hosts.ts";
 export * from "./membership.ts";
 export * from "./peer_codec.ts";
-export * from "./peer_news.ts";
+export * from "./peer_messages.ts";
 export * from "./peer_transport.ts";
 export * from "./prompt_broadcast.ts";
 export * from "./relay_plan.ts";
--- a/packages/rampswitch-serving/src/membership/peer_codec.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec.ts
@@ -38,7 +38,7 @@
   PeerMessage,
   PeerUpdate,
   WorkByServer,
-} from "./peer_news.ts";
+} from "./peer_messages.ts";
 
 /** Size above which messages are compressed, in bytes: the payload of one packet. */
 const COMPRESSED_ABOVE_BYTES = 1_400;
--- a/packages/rampswitch-serving/src/membership/peer_codec_test.ts
+++ b/packages/rampswitch-serving/src/membership/peer_codec_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
-import type { PeerMessage, PeerUpdate } from "./peer_news.ts";
+import type { PeerMessage, PeerUpdate } from "./peer_messages.ts";
 
 // Hosts report work at servers by id. A server may restart under the same id, and
 // hosts learn of that at different times, so an update names the incarnation it
--- a/packages/rampswitch-serving/src/mod.ts
+++ b/packages/rampswitch-serving/src/mod.ts
@@ -22,5 +22,5 @@
 export {
   type ReturnInputs,
   returnSpreadMilliseconds as returnMilliseconds,
-} from "./statements/mod.ts";
+} from "./advertisements/mod.ts";
 export type * from "./serving_settings.ts";
--- a/packages/rampswitch-serving/src/relay/leaving_servers.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers.ts
@@ -11,7 +11,7 @@
 import {
   type AdvertisementReader,
   readEngineReport,
-} from "../statements/mod.ts";
+} from "../advertisements/mod.ts";
 import type { RequestRun } from "./request_run.ts";
 import type { CallerServer } from "../intake/caller_server.ts";
 
--- a/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
@@ -10,7 +10,7 @@
 import {
   NOTHING_ADVERTISED,
   ignoringAdvertisementReader,
-} from "../statements/statements_standin.ts";
+} from "../advertisements/advertisements_standin.ts";
 
 // A server's entry is removed when it leaves, and also when the store could not be
 // reached for some heartbeats. These tests guard against migrations that ignore what
--- a/packages/rampswitch-serving/src/relay/recent_dispatches.ts
+++ b/packages/rampswitch-serving/src/relay/recent_dispatches.ts
@@ -7,7 +7,7 @@
  */
 import type { PromptPart } from "../model/request.ts";
 import type { BackendServer } from "../model/backend_server.ts";
-import type { DispatchUpdate } from "../membership/peer_news.ts";
+import type { DispatchUpdate } from "../membership/peer_messages.ts";
 
 /** Maximum dispatches in one message; the newest are the most useful. */
 const MAXIMUM_DISPATCHES_PER_MESSAGE = 24;
--- a/packages/rampswitch-serving/src/relay/request_context.ts
+++ b/packages/rampswitch-serving/src/relay/request_context.ts
@@ -22,7 +22,7 @@
 import type { Rollouts } from "../rollout/mod.ts";
 import type { ArrivalRates } from "./arrival_rates.ts";
 import type { ServerPermits, PermitWaits } from "../server_limits/mod.ts";
-import type { AdvertisementReader } from "../statements/mod.ts";
+import type { AdvertisementReader } from "../advertisements/mod.ts";
 import type { HoldTimes } from "./hold_times.ts";
 import type { ReadingRates } from "./reading_rates.ts";
 
--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -33,7 +33,7 @@
   observePlainHoldTime,
   observeReadingRate,
   type TimedSend,
-} from "./learned_answers.ts";
+} from "./observed_answers.ts";
 import type { RequestContext } from "./request_context.ts";
 import { ResendRules } from "./resend_rules.ts";
 import {
@@ -45,7 +45,7 @@
   type MigratableRun,
   RunMigration,
   type BudgetDecision,
-} from "./run_move.ts";
+} from "./run_migration.ts";
 import { SendChooser } from "./send_chooser.ts";
 import { StallWatch } from "./stall_watch.ts";
 
--- a/packages/rampswitch-serving/src/relay/run_move.ts
+++ b/packages/rampswitch-serving/src/relay/run_migration.ts
@@ -24,7 +24,7 @@
   type MemoryMigrationError,
   stopAbandonedRun,
 } from "./memory_migration.ts";
-import { readEngineReport } from "../statements/mod.ts";
+import { readEngineReport } from "../advertisements/mod.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { BudgetView, NotRepeatedReason, RunRecord } from "./run_record.ts";
 
--- a/packages/rampswitch-serving/src/relay/run_move_test.ts
+++ b/packages/rampswitch-serving/src/relay/run_migration_test.ts
@@ -21,12 +21,12 @@
 import { ServingMetrics } from "../observation/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { RequestContext } from "./request_context.ts";
-import { type MigratableRun, RunMigration } from "./run_move.ts";
+import { type MigratableRun, RunMigration } from "./run_migration.ts";
 import { RunRecord } from "./run_record.ts";
 import {
   NOTHING_ADVERTISED,
   ignoringAdvertisementReader,
-} from "../statements/statements_standin.ts";
+} from "../advertisements/advertisements_standin.ts";
 
 // The memory of a run that was stopped for a migration is named by a handle of the
 // server that stopped it. That server may restart at any moment, before or after
--- a/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
+++ b/packages/rampswitch-serving/src/server_limits/permit_lenders.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import { rendezvousOrder } from "rampswitch-utils";
-import { peerTimeoutMilliseconds } from "../admission/peer_spending.ts";
+import { peerTimeoutMilliseconds } from "../admission/peer_consumption.ts";
 import type { TimeSlotOwners } from "./permit_ledger.ts";
 
 /** Intervals of the gossip, in milliseconds. */
--- a/packages/rampswitch-serving/src/serving_host.ts
+++ b/packages/rampswitch-serving/src/serving_host.ts
@@ -65,7 +65,7 @@
   LeavingAdvertisements,
   BackOffAdvertisements,
   AdvertisementReader,
-} from "./statements/mod.ts";
+} from "./advertisements/mod.ts";
 import { ServerListing } from "./server_listing.ts";
 import {
   BOUNDS_FIXED_AT_START,
