--- a/packages/rampswitch-policy/src/mod.ts
+++ b/packages/rampswitch-policy/src/mod.ts
@@ -9,7 +9,7 @@
 export * from "./affinity_ring.ts";
 export * from "./capacity_plan.ts";
 export * from "./choice.ts";
-export * from "./move_plan.ts";
+export * from "./migration_plan.ts";
 export * from "./prefix_index.ts";
 export * from "./retry.ts";
 export * from "./routing_table.ts";
--- a/packages/rampswitch-policy/src/policy_test.ts
+++ b/packages/rampswitch-policy/src/policy_test.ts
@@ -10,7 +10,7 @@
   type PlannedClass,
   type PlannedHost,
 } from "./capacity_plan.ts";
-import { planMove } from "./move_plan.ts";
+import { planMove } from "./migration_plan.ts";
 import { PrefixIndex } from "./prefix_index.ts";
 import { decideRetry, RetryBudget } from "./retry.ts";
 import { mayEject, ServerHealth } from "./server_health.ts";
