--- a/packages/rampswitch-configuration/src/decisions_test.ts
+++ b/packages/rampswitch-configuration/src/decisions_test.ts
@@ -4,7 +4,7 @@
 import type { BackendContract, Host } from "rampswitch-types";
 import {
   type Freshness,
-  type FreshnessFacts,
+  type FreshnessInputs,
   judgeFreshness,
 } from "./freshness.ts";
 import {
@@ -36,7 +36,7 @@
 
 interface FreshnessCase {
   readonly name: string;
-  readonly facts: Partial<FreshnessFacts>;
+  readonly facts: Partial<FreshnessInputs>;
   readonly minorityServes?: boolean;
   readonly freshness: Freshness;
 }
@@ -90,7 +90,7 @@
   test.each(FRESHNESS_CASES)(
     "$name",
     ({ facts, minorityServes = false, freshness }) => {
-      const judged = judgeFreshness(
+      const evaluated = judgeFreshness(
         {
           now: 10_000,
           confirmedAt: 9_000,
@@ -101,7 +101,7 @@
         },
         { milliseconds: 5_000, minorityServes },
       );
-      expect(judged).toBe(freshness);
+      expect(evaluated).toBe(freshness);
     },
   );
 });
@@ -113,7 +113,7 @@
   clockSkewMilliseconds: 2_000,
 };
 
-const OTHERS: Lease = {
+const OTHER_HOSTS_LEASE: Lease = {
   holder: "b",
   epoch: 4,
   expiresAt: 99_000,
@@ -122,14 +122,14 @@
 
 describe("a lease", () => {
   test("is not taken before its holder surely thinks it over", () => {
-    expect(decideLease(OTHERS, TERMS)).toEqual({
+    expect(decideLease(OTHER_HOSTS_LEASE, TERMS)).toEqual({
       kind: "wait",
       until: 101_000,
     });
   });
 
   test("is taken with a higher epoch afterwards", () => {
-    const decision = decideLease(OTHERS, { ...TERMS, now: 101_000 });
+    const decision = decideLease(OTHER_HOSTS_LEASE, { ...TERMS, now: 101_000 });
     expect(decision).toMatchObject({
       lease: { holder: "a", epoch: 5, formerExpiresAt: 99_000 },
     });
@@ -143,13 +143,13 @@
   });
 
   test("gets a new epoch when its own holder comes back late", () => {
-    const own = { ...OTHERS, holder: "a" };
+    const own = { ...OTHER_HOSTS_LEASE, holder: "a" };
     const late = decideLease(own, { ...TERMS, now: 102_000 });
     expect(late).toMatchObject({ lease: { epoch: 5 } });
   });
 });
 
-const UNCHECKED: BackendContract = {
+const BASIC_CONTRACT: BackendContract = {
   checksOrderEpoch: false,
   resumesStreams: false,
   movesKeyValueCache: false,
@@ -164,7 +164,7 @@
   readonly decision: OrderDecision;
 }
 
-const HELD: Lease = {
+const OWN_LEASE: Lease = {
   holder: "a",
   epoch: 5,
   expiresAt: 120_000,
@@ -218,8 +218,8 @@
 
 describe("an order:", () => {
   test.each(ORDER_CASES)("$name", ({ kind, checks, now, decision }) => {
-    const decided = decideOrder(kind, HELD, {
-      contract: { ...UNCHECKED, checksOrderEpoch: checks },
+    const decided = decideOrder(kind, OWN_LEASE, {
+      contract: { ...BASIC_CONTRACT, checksOrderEpoch: checks },
       terms: { ...TERMS, now },
     });
     expect(decided).toEqual(decision);
@@ -258,7 +258,7 @@
   };
   readonly #random = seededRandom(5);
   readonly #views: Members[];
-  readonly #dead = new Set<number>();
+  readonly #killed = new Set<number>();
   #round = 0;
 
   constructor(size: number) {
@@ -274,7 +274,7 @@
   }
 
   kill(host: number): void {
-    this.#dead.add(host);
+    this.#killed.add(host);
   }
 
   run(rounds: number): void {
@@ -287,7 +287,7 @@
   /** Identities that living hosts suspect, once for each that does. */
   suspicions(): readonly string[] {
     return this.#views
-      .filter((_, host) => !this.#dead.has(host))
+      .filter((_, host) => !this.#killed.has(host))
       .flatMap((view) =>
         [...view]
           .filter(([, { suspected }]) => suspected)
@@ -296,7 +296,7 @@
   }
 
   #beat(host: number): void {
-    if (this.#dead.has(host)) return;
+    if (this.#killed.has(host)) return;
     const now = this.#round * 1_000;
     const { others } = silenceLimits(
       { members: this.#views.length, partners: 0 },
@@ -310,13 +310,13 @@
       always: [],
     }).forEach(({ digest: { host: peer } }) => {
       const to = Number(peer.name.slice(1));
-      if (this.#dead.has(to)) return;
-      this.#tell(host, to, now);
-      this.#tell(to, host, now);
+      if (this.#killed.has(to)) return;
+      this.#sendDigests(host, to, now);
+      this.#sendDigests(to, host, now);
     });
   }
 
-  #tell(from: number, to: number, now: number): void {
+  #sendDigests(from: number, to: number, now: number): void {
     const passedOn = digestsToSend(this.#views[from]!, now, {
       count: this.#rates.digests,
       random: this.#random,
--- a/packages/rampswitch-configuration/src/freshness.ts
+++ b/packages/rampswitch-configuration/src/freshness.ts
@@ -7,7 +7,7 @@
  */
 
 /** What a host knows about the age of its configuration. */
-export interface FreshnessFacts {
+export interface FreshnessInputs {
   readonly now: number;
   /** When somebody last confirmed that this revision is the head. */
   readonly confirmedAt: number | undefined;
@@ -36,18 +36,18 @@
 
 /** Judges the freshness of a host's configuration. */
 export function judgeFreshness(
-  facts: FreshnessFacts,
+  inputs: FreshnessInputs,
   limits: FreshnessLimits,
 ): Freshness {
-  if (facts.confirmedAt === undefined) return "never";
-  if (facts.now - facts.confirmedAt <= limits.milliseconds) return "fresh";
-  if (facts.peersReachingStore > 0) return "isolated";
-  const group = facts.peersHeard + 1;
-  const all = facts.peersKnown + 1;
-  const enough = limits.minorityServes
-    ? facts.peersHeard > 0 || facts.peersKnown === 0
-    : group * 2 >= all;
-  return enough ? "store_down" : "isolated";
+  if (inputs.confirmedAt === undefined) return "never";
+  if (inputs.now - inputs.confirmedAt <= limits.milliseconds) return "fresh";
+  if (inputs.peersReachingStore > 0) return "isolated";
+  const groupSize = inputs.peersHeard + 1;
+  const fleetSize = inputs.peersKnown + 1;
+  const largeEnough = limits.minorityServes
+    ? inputs.peersHeard > 0 || inputs.peersKnown === 0
+    : groupSize * 2 >= fleetSize;
+  return largeEnough ? "store_down" : "isolated";
 }
 
 /** Whether a freshness allows new work. */
--- a/packages/rampswitch-configuration/src/lease.ts
+++ b/packages/rampswitch-configuration/src/lease.ts
@@ -50,8 +50,8 @@
   if (current.holder === terms.self && terms.now < current.expiresAt) {
     return write({ ...current, expiresAt });
   }
-  const free = current.expiresAt + terms.clockSkewMilliseconds;
-  if (terms.now < free) return { kind: "wait", until: free };
+  const freeAt = current.expiresAt + terms.clockSkewMilliseconds;
+  if (terms.now < freeAt) return { kind: "wait", until: freeAt };
   return write({
     holder: terms.self,
     epoch: current.epoch + 1,
@@ -106,7 +106,7 @@
   | { readonly kind: "withhold" };
 
 /** Longest time that an order can be on its way, in milliseconds. */
-export const ORDER_FLIGHT_MILLISECONDS = 5_000;
+export const MAXIMUM_ORDER_DELIVERY_MILLISECONDS = 5_000;
 
 /**
  * Decides whether an order may go to a backend server. One that checks the
@@ -127,14 +127,14 @@
   if (contract.checksOrderEpoch || HARMLESS_WHEN_LATE[kind]) {
     return { kind: "send" };
   }
-  const clear =
+  const clearAt =
     lease.formerExpiresAt +
     terms.clockSkewMilliseconds +
-    ORDER_FLIGHT_MILLISECONDS;
-  if (lease.formerExpiresAt > 0 && terms.now < clear) {
-    return { kind: "wait", until: clear };
+    MAXIMUM_ORDER_DELIVERY_MILLISECONDS;
+  if (lease.formerExpiresAt > 0 && terms.now < clearAt) {
+    return { kind: "wait", until: clearAt };
   }
-  return terms.now + ORDER_FLIGHT_MILLISECONDS >= lease.expiresAt
+  return terms.now + MAXIMUM_ORDER_DELIVERY_MILLISECONDS >= lease.expiresAt
     ? { kind: "withhold" }
     : { kind: "send" };
 }
--- a/packages/rampswitch-configuration/src/leaving_marks.ts
+++ b/packages/rampswitch-configuration/src/leaving_marks.ts
@@ -32,21 +32,21 @@
 export type LeavingMarks = ReadonlyMap<string, LeavingMark>;
 
 /** Marks after news, and those that were new. */
-export interface MarkedNews {
+export interface MarkUpdate {
   readonly marks: LeavingMarks;
   readonly news: readonly LeavingMark[];
 }
 
 /** How long a mark without a deadline holds; sources tell it again. */
-const UNDATED_MILLISECONDS = 600_000;
+const UNDATED_MARK_MILLISECONDS = 600_000;
 
 /** Time after the end of a host's life in which its mark still holds. */
-const GRACE_MILLISECONDS = 60_000;
+const MARK_GRACE_MILLISECONDS = 60_000;
 
 /** When a mark ends: its host is gone by then, the name may be used anew. */
-export function markEndsAt(mark: LeavingMark): number {
-  const end = mark.deadline ?? mark.since + UNDATED_MILLISECONDS;
-  return end + GRACE_MILLISECONDS;
+export function markExpiresAt(mark: LeavingMark): number {
+  const end = mark.deadline ?? mark.since + UNDATED_MARK_MILLISECONDS;
+  return end + MARK_GRACE_MILLISECONDS;
 }
 
 /** Whether a mark speaks of a process that started at a time. */
@@ -62,29 +62,36 @@
   marks: LeavingMarks,
   added: readonly LeavingMark[],
   now: number,
-): MarkedNews {
+): MarkUpdate {
   const news = added
-    .filter((mark) => markEndsAt(mark) > now)
-    .filter((mark) => !isKnown(marks.get(mark.host), mark))
-    .filter((mark) => isNews(living(marks.get(mark.host), now), mark));
+    .filter((mark) => markExpiresAt(mark) > now)
+    .filter((mark) => !isCovered(marks.get(mark.host), mark))
+    .filter((mark) =>
+      changesMark(currentMark(marks.get(mark.host), now), mark),
+    );
   if (news.length === 0) return { marks, news };
   const next = new Map(marks);
   news.forEach((mark) =>
-    next.set(mark.host, joined(living(next.get(mark.host), now), mark)),
+    next.set(
+      mark.host,
+      mergeMarks(currentMark(next.get(mark.host), now), mark),
+    ),
   );
   return { marks: next, news };
 }
 
 /** Ends marks whose time is over. */
 export function endMarks(marks: LeavingMarks, now: number): LeavingMarks {
-  const over = [...marks.values()].some((mark) => markEndsAt(mark) <= now);
-  return over
-    ? new Map([...marks].filter(([, mark]) => markEndsAt(mark) > now))
+  const anyExpired = [...marks.values()].some(
+    (mark) => markExpiresAt(mark) <= now,
+  );
+  return anyExpired
+    ? new Map([...marks].filter(([, mark]) => markExpiresAt(mark) > now))
     : marks;
 }
 
 /** A mark whose host still lives; one past its deadline is of another life. */
-function living(
+function currentMark(
   mark: LeavingMark | undefined,
   now: number,
 ): LeavingMark | undefined {
@@ -94,22 +101,25 @@
 const NO_DEADLINE = Number.POSITIVE_INFINITY;
 
 /** Whether a mark says nothing that is not known, of whichever life. */
-function isKnown(known: LeavingMark | undefined, mark: LeavingMark): boolean {
+function isCovered(known: LeavingMark | undefined, mark: LeavingMark): boolean {
   return (
     known !== undefined &&
     (known.deadline ?? NO_DEADLINE) >= (mark.deadline ?? NO_DEADLINE) &&
-    !isNews(known, mark)
+    !changesMark(known, mark)
   );
 }
 
-function isNews(known: LeavingMark | undefined, mark: LeavingMark): boolean {
+function changesMark(
+  known: LeavingMark | undefined,
+  mark: LeavingMark,
+): boolean {
   return (
     known === undefined ||
     (mark.deadline ?? NO_DEADLINE) < (known.deadline ?? NO_DEADLINE)
   );
 }
 
-function joined(
+function mergeMarks(
   known: LeavingMark | undefined,
   mark: LeavingMark,
 ): LeavingMark {
--- a/packages/rampswitch-configuration/src/membership.ts
+++ b/packages/rampswitch-configuration/src/membership.ts
@@ -46,7 +46,7 @@
 }
 
 /** Heartbeats in a row that end a suspicion. */
-const GROWTHS_TO_TRUST = 2;
+const HEARTBEATS_TO_TRUST = 2;
 
 /** Takes in digests heard at a local time. */
 export function mergeDigests(
@@ -72,12 +72,12 @@
     });
     const known = next.get(id);
     if (known === undefined) joined.push(id);
-    next.set(id, heard(known, digest, now));
+    next.set(id, updatedMember(known, digest, now));
   });
   return { members: next, replaced: [...replaced], joined };
 }
 
-function heard(
+function updatedMember(
   known: Member | undefined,
   digest: HostDigest,
   now: number,
@@ -91,7 +91,7 @@
     digest,
     heardAt: now,
     growths,
-    suspected: known.suspected && growths < GROWTHS_TO_TRUST,
+    suspected: known.suspected && growths < HEARTBEATS_TO_TRUST,
   };
 }
 
@@ -119,7 +119,7 @@
 }
 
 /** How hosts send heartbeats. */
-export interface GossipRates {
+export interface GossipParameters {
   readonly heartbeatMilliseconds: number;
   /** Hosts that each heartbeat goes to. */
   readonly peers: number;
@@ -143,8 +143,8 @@
  * Times that news is awaited, in units of its usual interval. News of others
  * comes at random: among thousands of pairs of hosts some wait very long.
  */
-const OTHERS_PATIENCE = 20;
-const PARTNERS_PATIENCE = 1.5;
+const OTHERS_SILENCE_INTERVALS = 20;
+const PARTNERS_SILENCE_INTERVALS = 1.5;
 
 /**
  * Works out how long silence must last before it means anything: the more
@@ -152,17 +152,23 @@
  */
 export function silenceLimits(
   counts: { readonly members: number; readonly partners: number },
-  rates: GossipRates,
+  parameters: GossipParameters,
 ): SilenceLimits {
-  const { heartbeatMilliseconds, suspectMilliseconds } = rates;
-  const digestsPerHeartbeat = 2 * rates.peers * (rates.digests + 1);
-  const interval =
+  const { heartbeatMilliseconds, suspectMilliseconds } = parameters;
+  const digestsPerHeartbeat = 2 * parameters.peers * (parameters.digests + 1);
+  const othersInterval =
     (heartbeatMilliseconds * counts.members) / digestsPerHeartbeat;
-  const turn =
-    (heartbeatMilliseconds * counts.partners) / rates.partnersPerHeartbeat;
+  const partnersInterval =
+    (heartbeatMilliseconds * counts.partners) / parameters.partnersPerHeartbeat;
   return {
-    partners: Math.max(suspectMilliseconds, PARTNERS_PATIENCE * turn),
-    others: Math.max(suspectMilliseconds, OTHERS_PATIENCE * interval),
+    partners: Math.max(
+      suspectMilliseconds,
+      PARTNERS_SILENCE_INTERVALS * partnersInterval,
+    ),
+    others: Math.max(
+      suspectMilliseconds,
+      OTHERS_SILENCE_INTERVALS * othersInterval,
+    ),
   };
 }
 
@@ -206,8 +212,8 @@
   random: Random,
 ): readonly Item[] {
   const pool = [...items];
-  const wanted = Math.max(0, Math.min(count, pool.length));
-  return Array.from({ length: wanted }, () => {
+  const drawCount = Math.max(0, Math.min(count, pool.length));
+  return Array.from({ length: drawCount }, () => {
     const [drawn] = pool.splice(random.below(pool.length), 1);
     return drawn as Item;
   });
@@ -231,11 +237,11 @@
     options.count - newest.length,
     options.random,
   );
-  return [...newest, ...rest].map((member) => aged(member, now));
+  return [...newest, ...rest].map((member) => withCurrentAge(member, now));
 }
 
 /** A digest whose ages count the time that it has lain here. */
-function aged({ digest, heardAt }: Member, now: number): HostDigest {
+function withCurrentAge({ digest, heardAt }: Member, now: number): HostDigest {
   return digest.confirmedAge < 0
     ? digest
     : {
--- a/packages/rampswitch-configuration/src/order_plan.ts
+++ b/packages/rampswitch-configuration/src/order_plan.ts
@@ -25,7 +25,7 @@
 }
 
 /** Orders that were answered under the present lease, as `server kind name`. */
-export type DoneOrders = ReadonlySet<string>;
+export type AnsweredOrders = ReadonlySet<string>;
 
 /** Key of an order among those that are done. */
 export function orderKey(order: DueOrder): string {
@@ -40,7 +40,7 @@
 export function planOrders(
   service: Service,
   servers: readonly BackendServer[],
-  options: { readonly done: DoneOrders; readonly atOnce: number },
+  options: { readonly done: AnsweredOrders; readonly atOnce: number },
 ): readonly DueOrder[] {
   return servers
     .flatMap((server) =>
--- a/packages/rampswitch-configuration/src/reference_check.ts
+++ b/packages/rampswitch-configuration/src/reference_check.ts
@@ -13,7 +13,7 @@
   resourcesOf,
 } from "./configuration_state.ts";
 
-type ReferenceTest = (
+type ReferenceCheck = (
   resource: Resource,
   state: ConfigurationState,
 ) => readonly string[];
@@ -25,12 +25,12 @@
 ): readonly string[] {
   return edits.flatMap((edit) =>
     edit.kind === "put"
-      ? REFERENCE_TESTS[edit.resource.kind](edit.resource, state)
+      ? REFERENCE_CHECKS[edit.resource.kind](edit.resource, state)
       : deletionProblems(edit, state),
   );
 }
 
-const REFERENCE_TESTS: Readonly<Record<ResourceKind, ReferenceTest>> = {
+const REFERENCE_CHECKS: Readonly<Record<ResourceKind, ReferenceCheck>> = {
   Service: () => [],
   BackendServer: (resource, state) =>
     resource.kind !== "BackendServer" ||
--- a/packages/rampswitch-configuration/src/revision_log.ts
+++ b/packages/rampswitch-configuration/src/revision_log.ts
@@ -23,10 +23,10 @@
 /** Prefix of the parts of all snapshots. */
 export const SNAPSHOT_PREFIX = "configuration/snapshot/";
 
-const KEPT_CHANGE_IDS = 256;
-const KEPT_DELTAS = 16;
-const MAXIMUM_DELTA_BYTES = 16 * 1024;
-const PART_BYTES = 512 * 1024;
+const RETAINED_CHANGE_IDS = 256;
+const RETAINED_DELTAS = 16;
+const COMPACTION_THRESHOLD_BYTES = 16 * 1024;
+const MAXIMUM_PART_BYTES = 512 * 1024;
 const MAXIMUM_CHANGE_BYTES = 256 * 1024;
 
 /** A change id and the revision that it became. */
@@ -112,7 +112,7 @@
   };
   const problems = changeProblems(state, delta);
   if (problems.length > 0) return ended({ kind: "invalid", problems });
-  return { kind: "append", head: appended(head, delta), delta };
+  return { kind: "append", head: withDelta(head, delta), delta };
 }
 
 function ended(outcome: ChangeOutcome): ChangeDecision {
@@ -148,21 +148,23 @@
   ];
 }
 
-function appended(head: Head, delta: Delta): Head {
+function withDelta(head: Head, delta: Delta): Head {
   const { changeId, revision } = delta;
   return {
     revision,
     snapshot: head.snapshot,
     deltas: [...head.deltas, delta],
-    settled: [...head.settled, { changeId, revision }].slice(-KEPT_CHANGE_IDS),
+    settled: [...head.settled, { changeId, revision }].slice(
+      -RETAINED_CHANGE_IDS,
+    ),
   };
 }
 
 /** Whether the deltas of a head have grown enough to cut a snapshot. */
 export function needsCompaction(head: Head): boolean {
   return (
-    head.deltas.length > KEPT_DELTAS &&
-    JSON.stringify(head.deltas).length > MAXIMUM_DELTA_BYTES
+    head.deltas.length > RETAINED_DELTAS &&
+    JSON.stringify(head.deltas).length > COMPACTION_THRESHOLD_BYTES
   );
 }
 
@@ -177,7 +179,7 @@
   const parts = rows.reduce<readonly (readonly string[])[]>((cut, row) => {
     const last = cut.at(-1) ?? [];
     const bytes = last.reduce((sum, other) => sum + other.length, row.length);
-    return bytes > PART_BYTES && last.length > 0
+    return bytes > MAXIMUM_PART_BYTES && last.length > 0
       ? [...cut, [row]]
       : [...cut.slice(0, -1), [...last, row]];
   }, []);
@@ -202,7 +204,7 @@
     ...head,
     snapshot,
     deltas: head.deltas.filter(
-      ({ revision }) => revision > snapshot.revision - KEPT_DELTAS,
+      ({ revision }) => revision > snapshot.revision - RETAINED_DELTAS,
     ),
   };
 }
--- a/packages/rampswitch-configuration/src/revision_log_test.ts
+++ b/packages/rampswitch-configuration/src/revision_log_test.ts
@@ -99,8 +99,8 @@
 
   test("never takes a change twice, even when its id was forgotten", () => {
     const { head, state } = acceptMany(1);
-    const forgetful = { ...head, settled: [] };
-    expect(decide(forgetful, state, put("s0"))).toMatchObject({
+    const headWithoutIds = { ...head, settled: [] };
+    expect(decide(headWithoutIds, state, put("s0"))).toMatchObject({
       outcome: { kind: "conflict" },
     });
   });
@@ -146,19 +146,19 @@
         (batches) => {
           const reached = batches.reduce<{
             readonly state: ConfigurationState;
-            readonly fell: boolean;
+            readonly wentBack: boolean;
           }>(
             (now, batch) => {
               const next = applyDeltas(now.state, batch);
               return {
                 state: next,
-                fell: now.fell || next.revision < now.state.revision,
+                wentBack: now.wentBack || next.revision < now.state.revision,
               };
             },
-            { state: EMPTY_CONFIGURATION, fell: false },
+            { state: EMPTY_CONFIGURATION, wentBack: false },
           );
           const whole = applyDeltas(reached.state, head.deltas);
-          expect(reached.fell).toBe(false);
+          expect(reached.wentBack).toBe(false);
           expect([...whole.resources]).toEqual([...state.resources]);
         },
       ),
@@ -179,19 +179,22 @@
   });
 
   test("cuts parts below a megabyte and joins them again", () => {
-    const large: readonly Delta[] = Array.from({ length: 60 }, (_, index) => ({
-      revision: index + 1,
-      changeId: `c${index}`,
-      operator: "o",
-      acceptedAt: 0,
-      edits: [
-        {
-          kind: "put",
-          resource: service(`s${index}`, "x".repeat(20_000)),
-        },
-      ],
-    }));
-    const state = applyDeltas(EMPTY_CONFIGURATION, large);
+    const largeDeltas: readonly Delta[] = Array.from(
+      { length: 60 },
+      (_, index) => ({
+        revision: index + 1,
+        changeId: `c${index}`,
+        operator: "o",
+        acceptedAt: 0,
+        edits: [
+          {
+            kind: "put",
+            resource: service(`s${index}`, "x".repeat(20_000)),
+          },
+        ],
+      }),
+    );
+    const state = applyDeltas(EMPTY_CONFIGURATION, largeDeltas);
     const parts = snapshotParts(state);
     expect(parts.length).toBeGreaterThan(1);
     expect(Math.max(...parts.map(({ length }) => length))).toBeLessThan(
--- a/packages/rampswitch-policy/src/admission.ts
+++ b/packages/rampswitch-policy/src/admission.ts
@@ -40,29 +40,29 @@
   | { readonly kind: "queued" }
   | { readonly kind: "refused"; readonly outcome: RefusedNotRun };
 
-interface Queued {
+interface QueuedRequest {
   readonly request: AdmissionRequest;
   readonly virtualFinish: number;
 }
 
 /** Share of the queue that one workspace may use, relative to its weight. */
 const QUEUE_SHARE_FACTOR = 2;
-const LONGEST_RETRY_AFTER_MILLISECONDS = 30_000;
-const SHORTEST_RETRY_AFTER_MILLISECONDS = 100;
+const MAXIMUM_RETRY_AFTER_MILLISECONDS = 30_000;
+const MINIMUM_RETRY_AFTER_MILLISECONDS = 100;
 /** Background work whose slack falls below this share of its run is urgent. */
-const URGENT_SLACK = 1;
-const RATE_MILLISECONDS = 5_000;
+const URGENT_SLACK_SHARE = 1;
+const RATE_DECAY_MILLISECONDS = 5_000;
 
 /** Admission on one host. */
 export class Admission {
   readonly #running = new Map<string, AdmissionRequest>();
   readonly #lastFinish = new Map<string, number>();
   #limits: AdmissionLimits;
-  #queue: readonly Queued[] = [];
+  #queue: readonly QueuedRequest[] = [];
   #virtualTime = 0;
-  #tokens = 0;
+  #runningTokens = 0;
   #tokensPerMillisecond = 0;
-  #rateAt = 0;
+  #rateMeasuredAt = 0;
 
   constructor(limits: AdmissionLimits) {
     this.#limits = limits;
@@ -99,14 +99,14 @@
     this.#queue = this.#queue.filter((queued) => queued.request.id !== id);
     if (request === undefined) return;
     this.#running.delete(id);
-    this.#tokens -= request.tokens;
-    this.#measure(request.tokens, now);
+    this.#runningTokens -= request.tokens;
+    this.#measureRate(request.tokens, now);
   }
 
   /** Requests whose turn has come, most urgent first. */
   next(now: number): readonly AdmissionRequest[] {
     const started: AdmissionRequest[] = [];
-    for (let turns = this.#queue.length; turns > 0; turns -= 1) {
+    for (let remaining = this.#queue.length; remaining > 0; remaining -= 1) {
       const first = this.#first(now);
       if (first === undefined || !this.#fits(first.request)) break;
       this.#queue = this.#queue.filter((queued) => queued !== first);
@@ -130,24 +130,24 @@
   }
 
   /** Predicted wait of a request that would be queued last. */
-  predictedWait(): number {
+  predictedWaitMilliseconds(): number {
     if (this.#queue.length === 0) return 0;
-    const ahead = this.#queue.reduce(
+    const queuedTokens = this.#queue.reduce(
       (sum, { request }) => sum + request.tokens,
       0,
     );
     return this.#tokensPerMillisecond === 0
       ? 0
-      : ahead / this.#tokensPerMillisecond;
+      : queuedTokens / this.#tokensPerMillisecond;
   }
 
   #refusal(request: AdmissionRequest, now: number): RefusedNotRun | undefined {
-    const wait = this.predictedWait();
-    const again = {
+    const waitMilliseconds = this.predictedWaitMilliseconds();
+    const retryAfter = {
       retryAfterMilliseconds: Math.round(
         Math.min(
-          LONGEST_RETRY_AFTER_MILLISECONDS,
-          Math.max(SHORTEST_RETRY_AFTER_MILLISECONDS, wait),
+          MAXIMUM_RETRY_AFTER_MILLISECONDS,
+          Math.max(MINIMUM_RETRY_AFTER_MILLISECONDS, waitMilliseconds),
         ),
       ),
     };
@@ -156,50 +156,53 @@
     }
     if (
       !request.background &&
-      now + wait + request.runMilliseconds > request.deadline
+      now + waitMilliseconds + request.runMilliseconds > request.deadline
     ) {
       return refused(
         "deadline_unreachable",
-        `predicted wait ${Math.round(wait)} ms, expected less than ` +
+        `predicted wait ${Math.round(waitMilliseconds)} ms, expected less than ` +
           `${request.deadline - now} ms in all`,
-        again,
+        retryAfter,
       );
     }
     if (this.#queue.length >= this.#limits.queueRequests) {
       return refused(
         "queue_full",
         `${this.#queue.length} requests wait, expected fewer`,
-        again,
+        retryAfter,
       );
     }
-    return this.#shareUsed(request)
+    return this.#exceedsQueueShare(request)
       ? refused(
           "workspace_share_used",
           `workspace ${request.workspace} fills its share of the queue`,
-          again,
+          retryAfter,
         )
       : undefined;
   }
 
-  #shareUsed(request: AdmissionRequest): boolean {
+  #exceedsQueueShare(request: AdmissionRequest): boolean {
     if (this.#queue.length * 2 < this.#limits.queueRequests) return false;
     const weights = new Map(
       [...this.#queue.map((queued) => queued.request), request].map(
         ({ workspace, weight }) => [workspace, weight],
       ),
     );
-    const all = [...weights.values()].reduce((sum, weight) => sum + weight, 0);
-    const own = this.#queue.filter(
+    const totalWeight = [...weights.values()].reduce(
+      (sum, weight) => sum + weight,
+      0,
+    );
+    const queuedByWorkspace = this.#queue.filter(
       (queued) => queued.request.workspace === request.workspace,
     ).length;
-    const share = (QUEUE_SHARE_FACTOR * request.weight) / all;
-    return own >= this.#limits.queueRequests * Math.min(1, share);
+    const share = (QUEUE_SHARE_FACTOR * request.weight) / totalWeight;
+    return queuedByWorkspace >= this.#limits.queueRequests * Math.min(1, share);
   }
 
   #fits(request: AdmissionRequest): boolean {
     return (
       this.#running.size === 0 ||
-      this.#tokens + request.tokens <= this.#limits.tokens
+      this.#runningTokens + request.tokens <= this.#limits.tokens
     );
   }
 
@@ -215,32 +218,37 @@
 
   #start(request: AdmissionRequest, virtualFinish: number): void {
     this.#running.set(request.id, request);
-    this.#tokens += request.tokens;
+    this.#runningTokens += request.tokens;
     const virtualStart = virtualFinish - request.tokens / request.weight;
     this.#virtualTime = Math.max(this.#virtualTime, virtualStart);
   }
 
-  #first(now: number): Queued | undefined {
-    return this.#queue.reduce<Queued | undefined>(
+  #first(now: number): QueuedRequest | undefined {
+    return this.#queue.reduce<QueuedRequest | undefined>(
       (first, queued) =>
-        first === undefined || goesBefore(queued, first, now) ? queued : first,
+        first === undefined || precedes(queued, first, now) ? queued : first,
       undefined,
     );
   }
 
-  #measure(tokens: number, now: number): void {
-    const passed = Math.max(1, now - this.#rateAt);
-    const keep = Math.exp(-passed / RATE_MILLISECONDS);
+  #measureRate(tokens: number, now: number): void {
+    const elapsedMilliseconds = Math.max(1, now - this.#rateMeasuredAt);
+    const decay = Math.exp(-elapsedMilliseconds / RATE_DECAY_MILLISECONDS);
     this.#tokensPerMillisecond =
-      this.#rateAt === 0
+      this.#rateMeasuredAt === 0
         ? 0
-        : keep * this.#tokensPerMillisecond + ((1 - keep) * tokens) / passed;
-    this.#rateAt = now;
+        : decay * this.#tokensPerMillisecond +
+          ((1 - decay) * tokens) / elapsedMilliseconds;
+    this.#rateMeasuredAt = now;
   }
 }
 
 /** Order of the queue: urgency, priority, then fair share. */
-function goesBefore(left: Queued, right: Queued, now: number): boolean {
+function precedes(
+  left: QueuedRequest,
+  right: QueuedRequest,
+  now: number,
+): boolean {
   const rank = urgencyRank(left.request, now) - urgencyRank(right.request, now);
   if (rank !== 0) return rank < 0;
   const priority = right.request.priority - left.request.priority;
@@ -256,7 +264,7 @@
 function urgencyRank(request: AdmissionRequest, now: number): number {
   if (!request.background) return 0;
   const slack = request.deadline - now - request.runMilliseconds;
-  return slack <= URGENT_SLACK * request.runMilliseconds ? 0 : 1;
+  return slack <= URGENT_SLACK_SHARE * request.runMilliseconds ? 0 : 1;
 }
 
 /**
--- a/packages/rampswitch-policy/src/affinity_ring.ts
+++ b/packages/rampswitch-policy/src/affinity_ring.ts
@@ -12,14 +12,14 @@
 
 const POINTS_PER_SERVER = 16;
 
-interface Point {
+interface RingPoint {
   readonly at: number;
   readonly candidate: Candidate;
 }
 
 /** A ring over some candidates. */
 export class AffinityRing {
-  readonly #points: readonly Point[];
+  readonly #points: readonly RingPoint[];
 
   constructor(candidates: readonly Candidate[]) {
     this.#points = candidates
@@ -38,25 +38,25 @@
     eligible: (candidate: Candidate) => boolean,
   ): Candidate | undefined {
     const points = this.#points;
-    const start = this.#behind(hash32(key));
+    const start = this.#firstPointFrom(hash32(key));
     const tried = new Set<Candidate>();
     for (let step = 0; step < points.length; step += 1) {
       const candidate = points[(start + step) % points.length]?.candidate;
       if (candidate === undefined || tried.has(candidate)) continue;
       if (eligible(candidate)) return candidate;
       tried.add(candidate);
-      if (tried.size >= MAXIMUM_TRIED) return undefined;
+      if (tried.size >= MAXIMUM_CANDIDATES_TRIED) return undefined;
     }
     return undefined;
   }
 
   /** Index of the first point at or behind a place. */
-  #behind(place: number): number {
+  #firstPointFrom(position: number): number {
     let low = 0;
     let high = this.#points.length;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
-      if ((this.#points[middle]?.at ?? 0) < place) low = middle + 1;
+      if ((this.#points[middle]?.at ?? 0) < position) low = middle + 1;
       else high = middle;
     }
     return low;
@@ -64,4 +64,4 @@
 }
 
 /** Candidates looked at before a key is left without a home. */
-const MAXIMUM_TRIED = 64;
+const MAXIMUM_CANDIDATES_TRIED = 64;
--- a/packages/rampswitch-policy/src/capacity_plan.ts
+++ b/packages/rampswitch-policy/src/capacity_plan.ts
@@ -33,7 +33,7 @@
 }
 
 /** What the plan knows. */
-export interface CapacityFacts {
+export interface CapacityInputs {
   readonly now: number;
   /** Tokens a second asked for; absent where it is not known. */
   readonly demand: number | undefined;
@@ -76,58 +76,66 @@
 
 const TARGET_UTILIZATION = 0.7;
 /** Share of the demand that must survive the loss of any data hall. */
-const HALL_LOSS_SHARE = 0.8;
-const SPARE_ROUNDS_TO_END = 5;
-const CALM_MILLISECONDS = 120_000;
+const HALL_LOSS_DEMAND_SHARE = 0.8;
+const SPARE_ROUNDS_BEFORE_END = 5;
+const SCALE_IN_PAUSE_MILLISECONDS = 120_000;
 
 /** Plans one round. */
 export function planCapacity(
-  facts: CapacityFacts,
-  memory: CapacityMemory,
+  inputs: CapacityInputs,
+  previous: CapacityMemory,
 ): CapacityPlan {
-  const leaving = facts.hosts.some(({ state }) => state === "leaving");
-  const lastLossAt = leaving ? facts.now : memory.lastLossAt;
-  if (facts.demand === undefined) {
+  const leaving = inputs.hosts.some(({ state }) => state === "leaving");
+  const lastLossAt = leaving ? inputs.now : previous.lastLossAt;
+  if (inputs.demand === undefined) {
     return { actions: [], memory: { spareRounds: 0, lastLossAt }, missing: 0 };
   }
-  const wanted = facts.demand / TARGET_UTILIZATION;
-  const staying = facts.hosts.filter(({ state }) => state !== "leaving");
-  const starts = plannedStarts(facts, staying, wanted);
+  const requiredTokensPerSecond = inputs.demand / TARGET_UTILIZATION;
+  const remainingHosts = inputs.hosts.filter(
+    ({ state }) => state !== "leaving",
+  );
+  const starts = planStarts(inputs, remainingHosts, requiredTokensPerSecond);
   if (starts.actions.length > 0 || starts.missing > 0) {
     return { ...starts, memory: { spareRounds: 0, lastLossAt } };
   }
-  const spare = sparedHost(facts, staying, wanted);
-  const spareRounds = spare === undefined ? 0 : memory.spareRounds + 1;
-  const calm = facts.now - lastLossAt >= CALM_MILLISECONDS;
-  const ends =
-    spare !== undefined && calm && spareRounds >= SPARE_ROUNDS_TO_END;
+  const spareHost = findSpareHost(
+    inputs,
+    remainingHosts,
+    requiredTokensPerSecond,
+  );
+  const spareRounds = spareHost === undefined ? 0 : previous.spareRounds + 1;
+  const pauseOver = inputs.now - lastLossAt >= SCALE_IN_PAUSE_MILLISECONDS;
+  const endsSpareHost =
+    spareHost !== undefined &&
+    pauseOver &&
+    spareRounds >= SPARE_ROUNDS_BEFORE_END;
   return {
-    actions: ends ? [{ kind: "end", host: spare.name }] : [],
-    memory: { spareRounds: ends ? 0 : spareRounds, lastLossAt },
+    actions: endsSpareHost ? [{ kind: "end", host: spareHost.name }] : [],
+    memory: { spareRounds: endsSpareHost ? 0 : spareRounds, lastLossAt },
     missing: 0,
   };
 }
 
-interface Starts {
+interface PlannedStarts {
   readonly actions: readonly CapacityAction[];
   readonly missing: number;
 }
 
-function plannedStarts(
-  facts: CapacityFacts,
-  staying: readonly PlannedHost[],
-  wanted: number,
-): Starts {
+function planStarts(
+  inputs: CapacityInputs,
+  remainingHosts: readonly PlannedHost[],
+  requiredTokensPerSecond: number,
+): PlannedStarts {
   const actions: CapacityAction[] = [];
-  let hosts = staying;
-  const classes = startableClasses(facts);
-  const room = facts.downloadsFree;
-  while (actions.length < room) {
-    const lack = shortfall(hosts, facts.classes, wanted);
+  let hosts = remainingHosts;
+  const classes = startableClasses(inputs);
+  const maximumStarts = inputs.downloadsFree;
+  while (actions.length < maximumStarts) {
+    const lack = findShortfall(hosts, inputs.classes, requiredTokensPerSecond);
     const next =
       lack === undefined
         ? undefined
-        : classes.find(({ dataHall }) => dataHall !== lack.notIn);
+        : classes.find(({ dataHall }) => dataHall !== lack.excludedDataHall);
     if (next === undefined) break;
     actions.push({
       kind: "start",
@@ -146,14 +154,14 @@
       },
     ];
   }
-  const lack = shortfall(hosts, facts.classes, wanted);
+  const lack = findShortfall(hosts, inputs.classes, requiredTokensPerSecond);
   return { actions, missing: lack?.tokensPerSecond ?? 0 };
 }
 
 /** Classes by price for the work done; refused ones are left out. */
-function startableClasses(facts: CapacityFacts): readonly PlannedClass[] {
-  return facts.classes
-    .filter(({ refusedUntil }) => refusedUntil <= facts.now)
+function startableClasses(inputs: CapacityInputs): readonly PlannedClass[] {
+  return inputs.classes
+    .filter(({ refusedUntil }) => refusedUntil <= inputs.now)
     .toSorted(
       (left, right) =>
         left.dollarsPerHour / left.tokensPerSecond -
@@ -164,35 +172,42 @@
 interface Shortfall {
   readonly tokensPerSecond: number;
   /** Data hall whose loss cannot be borne; starts must go elsewhere. */
-  readonly notIn: string | undefined;
+  readonly excludedDataHall: string | undefined;
 }
 
-function shortfall(
+function findShortfall(
   hosts: readonly PlannedHost[],
   classes: readonly PlannedClass[],
-  wanted: number,
+  requiredTokensPerSecond: number,
 ): Shortfall | undefined {
-  const total = speedOf(hosts, classes);
-  if (total < wanted) {
-    return { tokensPerSecond: wanted - total, notIn: undefined };
+  const total = totalTokensPerSecond(hosts, classes);
+  if (total < requiredTokensPerSecond) {
+    return {
+      tokensPerSecond: requiredTokensPerSecond - total,
+      excludedDataHall: undefined,
+    };
   }
   const halls = [...new Set(hosts.map(({ dataHall }) => dataHall))];
-  const worst = halls
+  const worstLoss = halls
     .map((hall) => ({
       hall,
-      left: speedOf(
+      left: totalTokensPerSecond(
         hosts.filter(({ dataHall }) => dataHall !== hall),
         classes,
       ),
     }))
     .toSorted((left, right) => left.left - right.left)[0];
-  const floor = wanted * TARGET_UTILIZATION * HALL_LOSS_SHARE;
-  return worst !== undefined && worst.left < floor
-    ? { tokensPerSecond: floor - worst.left, notIn: worst.hall }
+  const minimumTokensPerSecond =
+    requiredTokensPerSecond * TARGET_UTILIZATION * HALL_LOSS_DEMAND_SHARE;
+  return worstLoss !== undefined && worstLoss.left < minimumTokensPerSecond
+    ? {
+        tokensPerSecond: minimumTokensPerSecond - worstLoss.left,
+        excludedDataHall: worstLoss.hall,
+      }
     : undefined;
 }
 
-function speedOf(
+function totalTokensPerSecond(
   hosts: readonly PlannedHost[],
   classes: readonly PlannedClass[],
 ): number {
@@ -205,24 +220,24 @@
   }, 0);
 }
 
-function sparedHost(
-  facts: CapacityFacts,
-  staying: readonly PlannedHost[],
-  wanted: number,
+function findSpareHost(
+  inputs: CapacityInputs,
+  remainingHosts: readonly PlannedHost[],
+  requiredTokensPerSecond: number,
 ): PlannedHost | undefined {
-  return staying
+  return remainingHosts
     .filter(({ state, managed }) => state === "serving" && managed)
     .filter(
       (host) =>
-        shortfall(
-          staying.filter((other) => other !== host),
-          facts.classes,
-          wanted,
+        findShortfall(
+          remainingHosts.filter((other) => other !== host),
+          inputs.classes,
+          requiredTokensPerSecond,
         ) === undefined,
     )
     .toSorted(
       (left, right) =>
-        priceOf(right, facts.classes) - priceOf(left, facts.classes) ||
+        priceOf(right, inputs.classes) - priceOf(left, inputs.classes) ||
         left.load - right.load,
     )[0];
 }
--- a/packages/rampswitch-policy/src/choice.ts
+++ b/packages/rampswitch-policy/src/choice.ts
@@ -79,13 +79,13 @@
   readonly exclusions: readonly Exclusion[];
 }
 
-const SMALL_GROUP = 24;
-const SAMPLED = 12;
-const PREFIX_CANDIDATES = 6;
+const MAXIMUM_FULLY_SCORED_GROUP = 24;
+const SAMPLE_SIZE = 12;
+const MAXIMUM_PREFIX_CANDIDATES = 6;
 const MILLISECONDS_PER_HOUR = 3_600_000;
 /** A queue is worth this share of the price of host time while it waits. */
-const TIME_WEIGHT = 0.25;
-const EQUAL_COST = 1.02;
+const QUEUE_TIME_WEIGHT = 0.25;
+const EQUAL_COST_FACTOR = 1.02;
 
 /** Chooses a backend server along a route. */
 export function choose(
@@ -96,56 +96,66 @@
   const cached = new Map(
     context.prefixes
       .matches(request.blocks)
-      .slice(0, PREFIX_CANDIDATES)
+      .slice(0, MAXIMUM_PREFIX_CANDIDATES)
       .map(({ server, blocks }) => [server, blocks * context.blockTokens]),
   );
   const scores: Score[] = [];
   const exclusions: Exclusion[] = [];
   for (const group of route.groups) {
-    const home = homeOf(group.candidates, request, context);
-    const looked = lookedAt(group.candidates, cached, { home, context });
-    const scored = looked.flatMap((candidate) => {
+    const preferred = preferredCandidate(group.candidates, request, context);
+    const considered = candidatesToScore(group.candidates, cached, {
+      preferred: preferred,
+      context,
+    });
+    const scored = considered.flatMap((candidate) => {
       const reason = request.avoid.has(candidate.server.name)
         ? "an earlier attempt failed on it"
         : context.excluded(candidate);
       if (reason === undefined) {
-        return [score(candidate, request, { cached, context, group, home })];
+        return [
+          score(candidate, request, {
+            cached,
+            context,
+            group,
+            preferred: preferred,
+          }),
+        ];
       }
       exclusions.push({ server: candidate.server.name, reason });
       return [];
     });
     scores.push(...scored);
-    const best = leastCost(
+    const best = lowestCost(
       scored.filter(({ meetsTarget }) => meetsTarget),
-      { random: context.random, home: home?.server.name },
+      { random: context.random, preferred: preferred?.server.name },
     );
     if (best !== undefined) return { chosen: best, scores, exclusions };
   }
-  const [soonest] = scores.toSorted(
+  const [fastest] = scores.toSorted(
     (left, right) => left.predictedMilliseconds - right.predictedMilliseconds,
   );
-  return { chosen: soonest, scores, exclusions };
+  return { chosen: fastest, scores, exclusions };
 }
 
-function lookedAt(
+function candidatesToScore(
   candidates: readonly Candidate[],
   cached: ReadonlyMap<string, number>,
   options: {
-    readonly home: Candidate | undefined;
+    readonly preferred: Candidate | undefined;
     readonly context: ChoiceContext;
   },
 ): readonly Candidate[] {
-  if (candidates.length <= SMALL_GROUP) return candidates;
-  const { home, context } = options;
-  const index = indexOf(candidates);
-  const holding = [...cached.keys()].flatMap(
+  if (candidates.length <= MAXIMUM_FULLY_SCORED_GROUP) return candidates;
+  const { preferred: home, context } = options;
+  const index = groupIndexOf(candidates);
+  const prefixHolders = [...cached.keys()].flatMap(
     (server) => index.byName.get(server) ?? [],
   );
-  const draws = Array.from({ length: SAMPLED }, (_, draw) => {
+  const draws = Array.from({ length: SAMPLE_SIZE }, (_, draw) => {
     const pool = draw % 2 === 0 ? index.cheapest : candidates;
     return pool[context.random.below(pool.length)];
   });
-  return [...new Set([...holding, home, ...draws])].filter(
+  return [...new Set([...prefixHolders, home, ...draws])].filter(
     (candidate) => candidate !== undefined,
   );
 }
@@ -154,14 +164,14 @@
  * The server where a conversation belongs: among the cheapest, so that its
  * turns find their prefix at a low price, whichever host they come through.
  */
-function homeOf(
+function preferredCandidate(
   candidates: readonly Candidate[],
   request: ChoiceRequest,
   context: ChoiceContext,
 ): Candidate | undefined {
   const { conversation } = request;
   if (conversation === undefined) return undefined;
-  return indexOf(candidates).ring.find(
+  return groupIndexOf(candidates).ring.find(
     conversation,
     (candidate) =>
       !request.avoid.has(candidate.server.name) &&
@@ -180,9 +190,9 @@
 
 const GROUP_INDEXES = new WeakMap<readonly Candidate[], GroupIndex>();
 
-function indexOf(candidates: readonly Candidate[]): GroupIndex {
-  const known = GROUP_INDEXES.get(candidates);
-  if (known !== undefined) return known;
+function groupIndexOf(candidates: readonly Candidate[]): GroupIndex {
+  const cached = GROUP_INDEXES.get(candidates);
+  if (cached !== undefined) return cached;
   const lowest = Math.min(
     ...candidates.map(({ dollarsPerHour }) => dollarsPerHour),
   );
@@ -205,7 +215,7 @@
   candidates: readonly Candidate[],
   server: string,
 ): boolean {
-  return indexOf(candidates).byName.has(server);
+  return groupIndexOf(candidates).byName.has(server);
 }
 
 function score(
@@ -215,30 +225,31 @@
     readonly cached: ReadonlyMap<string, number>;
     readonly context: ChoiceContext;
     readonly group: { readonly priority: number };
-    readonly home: Candidate | undefined;
+    readonly preferred: Candidate | undefined;
   },
 ): Score {
   const { context, cached } = options;
   const { name, concurrency } = candidate.server;
-  const expected =
-    candidate === options.home ? (request.earlierTokens ?? 0) : 0;
+  const expectedCachedTokens =
+    candidate === options.preferred ? (request.earlierTokens ?? 0) : 0;
   const cachedTokens = Math.min(
     request.promptTokens,
-    Math.max(expected, cached.get(name) ?? 0),
+    Math.max(expectedCachedTokens, cached.get(name) ?? 0),
   );
-  const uncached = request.promptTokens - cachedTokens;
+  const uncachedPromptTokens = request.promptTokens - cachedTokens;
   const load = context.load(name);
   const { promptTokenMilliseconds, tokenMilliseconds } = context.speeds;
   const runMilliseconds =
-    uncached * promptTokenMilliseconds +
+    uncachedPromptTokens * promptTokenMilliseconds +
     request.expectedTokens * tokenMilliseconds;
   const waitingRequests = Math.max(0, load.requests + 1 - concurrency);
   const waitMilliseconds =
     (waitingRequests * runMilliseconds) / concurrency +
     load.promptTokens * promptTokenMilliseconds;
-  const firstToken = uncached * promptTokenMilliseconds + tokenMilliseconds;
+  const firstTokenMilliseconds =
+    uncachedPromptTokens * promptTokenMilliseconds + tokenMilliseconds;
   const predictedMilliseconds =
-    (waitMilliseconds + firstToken) / context.share(name);
+    (waitMilliseconds + firstTokenMilliseconds) / context.share(name);
   return {
     server: name,
     priority: options.group.priority,
@@ -246,7 +257,7 @@
     cachedTokens,
     meetsTarget: predictedMilliseconds <= request.targetMilliseconds,
     cost: costOf(candidate, request, {
-      uncached,
+      uncachedPromptTokens: uncachedPromptTokens,
       runMilliseconds,
       waitMilliseconds,
       promptTokenMilliseconds,
@@ -258,36 +269,41 @@
   candidate: Candidate,
   request: ChoiceRequest,
   durations: {
-    readonly uncached: number;
+    readonly uncachedPromptTokens: number;
     readonly runMilliseconds: number;
     readonly waitMilliseconds: number;
     readonly promptTokenMilliseconds: number;
   },
 ): number {
-  const { runMilliseconds, waitMilliseconds, uncached } = durations;
+  const {
+    runMilliseconds,
+    waitMilliseconds,
+    uncachedPromptTokens: uncached,
+  } = durations;
   const pricePerMillisecond = candidate.dollarsPerHour / MILLISECONDS_PER_HOUR;
-  const hostTime =
-    pricePerMillisecond * (runMilliseconds + TIME_WEIGHT * waitMilliseconds);
-  const lossAtReclaim =
+  const hostTimeCost =
+    pricePerMillisecond *
+    (runMilliseconds + QUEUE_TIME_WEIGHT * waitMilliseconds);
+  const expectedTokensLost =
     (runMilliseconds / (candidate.meanHoursToReclaim * MILLISECONDS_PER_HOUR)) *
     (request.promptTokens + request.expectedTokens / 2);
-  const recomputed =
+  const recomputationCost =
     pricePerMillisecond *
     durations.promptTokenMilliseconds *
-    (uncached + lossAtReclaim);
+    (uncached + expectedTokensLost);
   return (
-    request.weights.cost * hostTime +
-    request.weights.recomputedTokens * recomputed
+    request.weights.cost * hostTimeCost +
+    request.weights.recomputedTokens * recomputationCost
   );
 }
 
-function leastCost(
+function lowestCost(
   scores: readonly Score[],
-  options: { readonly random: Random; readonly home: string | undefined },
+  options: { readonly random: Random; readonly preferred: string | undefined },
 ): Score | undefined {
-  const least = Math.min(...scores.map(({ cost }) => cost));
-  const equal = scores.filter(({ cost }) => cost <= least * EQUAL_COST);
-  const home = equal.find(({ server }) => server === options.home);
+  const lowest = Math.min(...scores.map(({ cost }) => cost));
+  const equal = scores.filter(({ cost }) => cost <= lowest * EQUAL_COST_FACTOR);
+  const home = equal.find(({ server }) => server === options.preferred);
   if (home !== undefined || equal.length <= 1) return home ?? equal[0];
   return equal[options.random.below(equal.length)];
 }
--- a/packages/rampswitch-policy/src/migration_plan.ts
+++ b/packages/rampswitch-policy/src/migration_plan.ts
@@ -7,7 +7,7 @@
  */
 
 /** A running answer on a host that is leaving. */
-export interface LeavingWork {
+export interface RunOnLeavingHost {
   /** Milliseconds until the host is taken; absent where nobody said. */
   readonly remainingMilliseconds: number | undefined;
   /** Tokens that may still come. */
@@ -23,19 +23,21 @@
  * `finish`: leave it, it ends in time or must not run twice. `move_cache`:
  * move it with its KV cache. `resume`: go on elsewhere from what was delivered.
  */
-export type MovePlan = "finish" | "move_cache" | "resume";
+export type MigrationPlan = "finish" | "move_cache" | "resume";
 
 /** Time kept free before the host is taken, in milliseconds. */
-const MARGIN_MILLISECONDS = 500;
+const RECLAIM_MARGIN_MILLISECONDS = 500;
 /** Longest time that a move of KV cache is given, in milliseconds. */
 export const CACHE_MOVE_MILLISECONDS = 2_000;
 
 /** Plans for one running answer. */
-export function planMove(work: LeavingWork): MovePlan {
-  if (!work.repeatable) return "finish";
-  const remaining = work.remainingMilliseconds ?? Number.POSITIVE_INFINITY;
-  const needed = work.remainingTokens * work.tokenMilliseconds;
-  if (needed + MARGIN_MILLISECONDS < remaining) return "finish";
-  const roomToMove = remaining > CACHE_MOVE_MILLISECONDS + MARGIN_MILLISECONDS;
-  return work.movesCache && roomToMove ? "move_cache" : "resume";
+export function planMove(run: RunOnLeavingHost): MigrationPlan {
+  if (!run.repeatable) return "finish";
+  const remaining = run.remainingMilliseconds ?? Number.POSITIVE_INFINITY;
+  const runMilliseconds = run.remainingTokens * run.tokenMilliseconds;
+  if (runMilliseconds + RECLAIM_MARGIN_MILLISECONDS < remaining)
+    return "finish";
+  const hasTimeToMigrate =
+    remaining > CACHE_MOVE_MILLISECONDS + RECLAIM_MARGIN_MILLISECONDS;
+  return run.movesCache && hasTimeToMigrate ? "move_cache" : "resume";
 }
--- a/packages/rampswitch-policy/src/policy_test.ts
+++ b/packages/rampswitch-policy/src/policy_test.ts
@@ -262,24 +262,26 @@
   });
 });
 
-const CLASSES: readonly PlannedClass[] = ["a", "b", "c"].flatMap((dataHall) => [
-  {
-    name: `spot-${dataHall}`,
-    dataHall,
-    dollarsPerHour: 0.4,
-    reclaimable: true,
-    tokensPerSecond: 100,
-    refusedUntil: 0,
-  },
-  {
-    name: `on-demand-${dataHall}`,
-    dataHall,
-    dollarsPerHour: 1.2,
-    reclaimable: false,
-    tokensPerSecond: 100,
-    refusedUntil: 0,
-  },
-]);
+const HOST_CLASSES: readonly PlannedClass[] = ["a", "b", "c"].flatMap(
+  (dataHall) => [
+    {
+      name: `spot-${dataHall}`,
+      dataHall,
+      dollarsPerHour: 0.4,
+      reclaimable: true,
+      tokensPerSecond: 100,
+      refusedUntil: 0,
+    },
+    {
+      name: `on-demand-${dataHall}`,
+      dataHall,
+      dollarsPerHour: 1.2,
+      reclaimable: false,
+      tokensPerSecond: 100,
+      refusedUntil: 0,
+    },
+  ],
+);
 
 function hosts(
   halls: readonly string[],
@@ -309,7 +311,7 @@
       now: options.now ?? 1_000_000,
       demand,
       hosts: planned,
-      classes: options.classes ?? CLASSES,
+      classes: options.classes ?? HOST_CLASSES,
       downloadsFree: 8,
     },
     options.memory ?? NO_CAPACITY_MEMORY,
@@ -328,7 +330,7 @@
   });
 
   test("goes to another class where starts are refused", () => {
-    const classes = CLASSES.map((planned) =>
+    const classes = HOST_CLASSES.map((planned) =>
       planned.reclaimable ? { ...planned, refusedUntil: 2_000_000 } : planned,
     );
     const { actions } = plan(70, [], { classes });
--- a/packages/rampswitch-policy/src/prefix_index.ts
+++ b/packages/rampswitch-policy/src/prefix_index.ts
@@ -14,7 +14,7 @@
   readonly blocks: number;
 }
 
-const SERVERS_PER_BLOCK = 4;
+const MAXIMUM_SERVERS_PER_BLOCK = 4;
 
 /** An index bounded in blocks; the least recently used go first. */
 export class PrefixIndex {
@@ -33,15 +33,15 @@
   /** Notes that a server computes or has stored these blocks. */
   stored(server: string, blocks: readonly string[]): void {
     blocks.forEach((block) => {
-      const known = this.#servers.get(block) ?? [];
+      const holders = this.#servers.get(block) ?? [];
       this.#servers.delete(block);
       this.#servers.set(
         block,
-        known[0] === server
-          ? known
-          : [server, ...known.filter((other) => other !== server)].slice(
+        holders[0] === server
+          ? holders
+          : [server, ...holders.filter((other) => other !== server)].slice(
               0,
-              SERVERS_PER_BLOCK,
+              MAXIMUM_SERVERS_PER_BLOCK,
             ),
       );
     });
@@ -54,9 +54,9 @@
 
   /** Notes that a server dropped a block. */
   evicted(server: string, block: string): void {
-    const known = this.#servers.get(block);
-    if (known === undefined) return;
-    const others = known.filter((other) => other !== server);
+    const holders = this.#servers.get(block);
+    if (holders === undefined) return;
+    const others = holders.filter((other) => other !== server);
     if (others.length === 0) this.#servers.delete(block);
     else this.#servers.set(block, others);
   }
@@ -70,17 +70,18 @@
 
   /** Servers that hold the most of a prompt, best first. */
   matches(blocks: readonly string[]): readonly PrefixMatch[] {
-    const held = new Map<string, number>();
-    const missing = blocks.findIndex((block, index) => {
+    const heldBlocks = new Map<string, number>();
+    const firstMissing = blocks.findIndex((block, index) => {
       const servers = this.#servers.get(block);
       servers?.forEach((server) => {
-        if ((held.get(server) ?? 0) >= index) held.set(server, index + 1);
+        if ((heldBlocks.get(server) ?? 0) >= index)
+          heldBlocks.set(server, index + 1);
       });
       return servers === undefined;
     });
-    return missing === 0
+    return firstMissing === 0
       ? []
-      : [...held]
+      : [...heldBlocks]
           .map(([server, count]) => ({ server, blocks: count }))
           .toSorted((left, right) => right.blocks - left.blocks);
   }
--- a/packages/rampswitch-policy/src/retry.ts
+++ b/packages/rampswitch-policy/src/retry.ts
@@ -11,45 +11,45 @@
 /** Limits of retries. */
 export interface RetryLimits {
   /** Retries earned by each first attempt. */
-  readonly perRequest: number;
+  readonly retriesPerRequest: number;
   /** Retries that can be saved up. */
-  readonly saved: number;
+  readonly maximumSavedRetries: number;
   readonly attempts: number;
-  readonly firstWaitMilliseconds: number;
+  readonly initialWaitMilliseconds: number;
   readonly longestWaitMilliseconds: number;
 }
 
 /** Limits in force where nothing else is said. */
 export const RETRY_LIMITS: RetryLimits = {
-  perRequest: 0.1,
-  saved: 20,
+  retriesPerRequest: 0.1,
+  maximumSavedRetries: 20,
   attempts: 4,
-  firstWaitMilliseconds: 10,
+  initialWaitMilliseconds: 10,
   longestWaitMilliseconds: 500,
 };
 
 /** Retries that a service may still spend; it bounds the amplification. */
 export class RetryBudget {
   readonly #limits: RetryLimits;
-  #saved: number;
+  #savedRetries: number;
 
   constructor(limits: RetryLimits = RETRY_LIMITS) {
     this.#limits = limits;
-    this.#saved = limits.saved;
+    this.#savedRetries = limits.maximumSavedRetries;
   }
 
   /** Earns for a first attempt. */
   earn(): void {
-    this.#saved = Math.min(
-      this.#limits.saved,
-      this.#saved + this.#limits.perRequest,
+    this.#savedRetries = Math.min(
+      this.#limits.maximumSavedRetries,
+      this.#savedRetries + this.#limits.retriesPerRequest,
     );
   }
 
   /** Spends one retry, if there is one. */
   spend(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#savedRetries < 1) return false;
+    this.#savedRetries -= 1;
     return true;
   }
 }
@@ -98,15 +98,16 @@
   const limits = options.limits ?? RETRY_LIMITS;
   const notRun =
     attempt.outcome.kind === "refused_not_run" && !attempt.mayHaveRunBefore;
-  const allowed = attempt.repeatable || notRun;
-  const longest = Math.min(
+  const safeToRepeat = attempt.repeatable || notRun;
+  const maximumWaitMilliseconds = Math.min(
     limits.longestWaitMilliseconds,
-    limits.firstWaitMilliseconds * 2 ** (attempt.attempts - 1),
+    limits.initialWaitMilliseconds * 2 ** (attempt.attempts - 1),
   );
-  const waitMilliseconds = longest * options.random.next();
-  const tried = attempt.attempts >= limits.attempts;
-  const late = waitMilliseconds >= attempt.remainingMilliseconds;
-  if (!allowed || tried || late) return { kind: "give_up", budgetEmpty: false };
+  const waitMilliseconds = maximumWaitMilliseconds * options.random.next();
+  const attemptsExhausted = attempt.attempts >= limits.attempts;
+  const pastDeadline = waitMilliseconds >= attempt.remainingMilliseconds;
+  if (!safeToRepeat || attemptsExhausted || pastDeadline)
+    return { kind: "give_up", budgetEmpty: false };
   return attempt.madeProgress === true || options.budget.spend()
     ? { kind: "retry", reason: attempt.reason, waitMilliseconds }
     : { kind: "give_up", budgetEmpty: true };
--- a/packages/rampswitch-policy/src/retry_test.ts
+++ b/packages/rampswitch-policy/src/retry_test.ts
@@ -23,13 +23,13 @@
 ];
 
 /** Longest sequence of outcomes that is explored. */
-const DEPTH = 4;
+const MAXIMUM_LENGTH = 4;
 
 /** All sequences of outcomes up to the depth, whoever sent each attempt. */
 function sequences(): readonly (readonly UnsuccessfulOutcome[])[] {
   let all: readonly (readonly UnsuccessfulOutcome[])[] = [];
   let last: readonly (readonly UnsuccessfulOutcome[])[] = [[]];
-  for (let length = 0; length < DEPTH; length += 1) {
+  for (let length = 0; length < MAXIMUM_LENGTH; length += 1) {
     last = last.flatMap((sequence) =>
       OUTCOMES.map((outcome) => [...sequence, outcome]),
     );
--- a/packages/rampswitch-policy/src/routing_table.ts
+++ b/packages/rampswitch-policy/src/routing_table.ts
@@ -38,7 +38,7 @@
   readonly groups: readonly CandidateGroup[];
 }
 
-const UNKNOWN_CLASS = { dollarsPerHour: 1, meanHoursToReclaim: 8760 };
+const UNKNOWN_HOST_CLASS = { dollarsPerHour: 1, meanHoursToReclaim: 8760 };
 
 /** Routes of one revision; each is worked out at its first use and kept. */
 export class RoutingTable {
@@ -50,17 +50,19 @@
   readonly #routes = new Map<string, Route>();
 
   constructor(resources: readonly Resource[]) {
-    this.services = named(resources, "Service");
-    this.workspaces = named(resources, "Workspace");
-    const classes = named(resources, "HostClass");
-    const candidates = [...named(resources, "BackendServer").values()].map(
-      (server) => candidateOf(server, classes),
-    );
+    this.services = resourcesByName(resources, "Service");
+    this.workspaces = resourcesByName(resources, "Workspace");
+    const classes = resourcesByName(resources, "HostClass");
+    const candidates = [
+      ...resourcesByName(resources, "BackendServer").values(),
+    ].map((server) => candidateOf(server, classes));
     this.candidates = new Map(
       candidates.map((candidate) => [candidate.server.name, candidate]),
     );
     this.#byService = groupBy(candidates, ({ server }) => server.service);
-    this.#rules = [...named(resources, "RoutingRule").values()].toSorted(
+    this.#rules = [
+      ...resourcesByName(resources, "RoutingRule").values(),
+    ].toSorted(
       (left, right) =>
         left.priority - right.priority || (left.name < right.name ? -1 : 1),
     );
@@ -74,8 +76,8 @@
   /** Where a service's work for a workspace may go. */
   route(service: Service, workspace: Workspace): Route {
     const key = `${service.name}|${workspace.name}`;
-    const known = this.#routes.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#routes.get(key);
+    if (cached !== undefined) return cached;
     const route = this.#compile(service, workspace);
     this.#routes.set(key, route);
     return route;
@@ -94,7 +96,7 @@
         groups: all.length === 0 ? [] : [{ priority: 0, candidates: all }],
       };
     }
-    const placed = all.flatMap((candidate) => {
+    const prioritized = all.flatMap((candidate) => {
       const priorities = rule.targets
         .filter(({ selector }) =>
           selectorMatches(selector, candidate.server.labels),
@@ -104,7 +106,7 @@
         ? []
         : [{ candidate, priority: Math.min(...priorities) }];
     });
-    const groups = [...groupBy(placed, ({ priority }) => priority)]
+    const groups = [...groupBy(prioritized, ({ priority }) => priority)]
       .toSorted(([left], [right]) => left - right)
       .map(([priority, members]) => ({
         priority,
@@ -121,14 +123,15 @@
   const hostClass = classes.get(server.hostClass);
   return {
     server,
-    dollarsPerHour: hostClass?.dollarsPerHour ?? UNKNOWN_CLASS.dollarsPerHour,
+    dollarsPerHour:
+      hostClass?.dollarsPerHour ?? UNKNOWN_HOST_CLASS.dollarsPerHour,
     meanHoursToReclaim:
-      hostClass?.meanHoursToReclaim ?? UNKNOWN_CLASS.meanHoursToReclaim,
+      hostClass?.meanHoursToReclaim ?? UNKNOWN_HOST_CLASS.meanHoursToReclaim,
     reclaimable: hostClass?.reclaimable ?? false,
   };
 }
 
-function named<Kind extends Resource["kind"]>(
+function resourcesByName<Kind extends Resource["kind"]>(
   resources: readonly Resource[],
   kind: Kind,
 ): ReadonlyMap<string, Extract<Resource, { readonly kind: Kind }>> {
--- a/packages/rampswitch-policy/src/server_health.ts
+++ b/packages/rampswitch-policy/src/server_health.ts
@@ -15,7 +15,7 @@
 } from "xstate";
 
 interface HealthContext {
-  readonly failuresInRow: number;
+  readonly consecutiveFailures: number;
   readonly ejections: number;
   /** When the state was entered, in milliseconds since the epoch. */
   readonly since: number;
@@ -29,9 +29,9 @@
 
 const FAILURES_TO_EJECT = 5;
 const FIRST_EJECTION_MILLISECONDS = 2_000;
-const LONGEST_EJECTION_MILLISECONDS = 60_000;
+const MAXIMUM_EJECTION_MILLISECONDS = 60_000;
 const SLOW_START_MILLISECONDS = 10_000;
-const SLOW_START_FLOOR = 0.1;
+const MINIMUM_SLOW_START_SHARE = 0.1;
 
 /** The machine of one backend server's health. */
 export const HEALTH_MACHINE = setup({
@@ -41,7 +41,7 @@
   },
   guards: {
     lastFailure: ({ context }) =>
-      context.failuresInRow + 1 >= FAILURES_TO_EJECT,
+      context.consecutiveFailures + 1 >= FAILURES_TO_EJECT,
     ejectionOver: ({ context, event }) =>
       event.now - context.since >= ejectionMilliseconds(context.ejections),
     slowStartOver: ({ context, event }) =>
@@ -49,12 +49,12 @@
   },
   actions: {
     countFailure: assign({
-      failuresInRow: ({ context }) => context.failuresInRow + 1,
+      consecutiveFailures: ({ context }) => context.consecutiveFailures + 1,
     }),
-    clearFailures: assign({ failuresInRow: 0 }),
+    clearFailures: assign({ consecutiveFailures: 0 }),
     clearEjections: assign({ ejections: 0 }),
     eject: assign({
-      failuresInRow: 0,
+      consecutiveFailures: 0,
       ejections: ({ context }) => context.ejections + 1,
       since: ({ event }) => event.now,
     }),
@@ -112,7 +112,7 @@
 
 function ejectionMilliseconds(ejections: number): number {
   return Math.min(
-    LONGEST_EJECTION_MILLISECONDS,
+    MAXIMUM_EJECTION_MILLISECONDS,
     FIRST_EJECTION_MILLISECONDS * 2 ** Math.max(0, ejections - 1),
   );
 }
@@ -134,7 +134,8 @@
   /** Whether events can change anything; a healthy server's successes can't. */
   get steady(): boolean {
     return (
-      this.state === "healthy" && this.#snapshot.context.failuresInRow === 0
+      this.state === "healthy" &&
+      this.#snapshot.context.consecutiveFailures === 0
     );
   }
 
@@ -161,19 +162,19 @@
   /** Share of its load that a server should get, above 0 and at most 1. */
   share(now: number): number {
     if (this.state !== "slowStart") return 1;
-    const passed =
+    const elapsedShare =
       (now - this.#snapshot.context.since) / SLOW_START_MILLISECONDS;
-    return Math.max(SLOW_START_FLOOR, Math.min(1, passed));
+    return Math.max(MINIMUM_SLOW_START_SHARE, Math.min(1, elapsedShare));
   }
 }
 
 /** Share of a group that may be ejected at once. */
-const LARGEST_EJECTED_SHARE = 0.5;
+const MAXIMUM_EJECTED_SHARE = 0.5;
 
 /**
  * Whether so many servers of a group may be out at once. Where too many failed,
  * all are asked again, since the others could not carry the load.
  */
 export function mayEject(ejected: number, groupSize: number): boolean {
-  return ejected <= groupSize * LARGEST_EJECTED_SHARE;
+  return ejected <= groupSize * MAXIMUM_EJECTED_SHARE;
 }
--- a/packages/rampswitch-policy/src/server_load.ts
+++ b/packages/rampswitch-policy/src/server_load.ts
@@ -27,7 +27,7 @@
   readonly promptTokens: number;
 }
 
-const IDLE: ReportedLoad = {
+const NO_LOAD: ReportedLoad = {
   running: 0,
   waiting: 0,
   promptTokensWaiting: 0,
@@ -35,12 +35,12 @@
 };
 
 /** Time for which a failed request still counts as load. */
-const FAILURE_MILLISECONDS = 1_000;
-const MAXIMUM_SENT = 256;
+const FAILURE_LOAD_MILLISECONDS = 1_000;
+const MAXIMUM_TRACKED_REQUESTS = 256;
 
 /** Load of one backend server as one entry host sees it. */
 export class ServerLoad {
-  #reported: ReportedLoad = IDLE;
+  #report: ReportedLoad = NO_LOAD;
   #sent: readonly SentRequest[] = [];
   #ended = 0;
   #failures: readonly number[] = [];
@@ -53,8 +53,8 @@
 
   /** Takes in a report; older ones change nothing. */
   report(load: ReportedLoad): void {
-    if (load.at <= this.#reported.at) return;
-    this.#reported = load;
+    if (load.at <= this.#report.at) return;
+    this.#report = load;
     this.#sent = this.#sent.filter(({ at }) => at > load.at);
     this.#ended = 0;
   }
@@ -63,7 +63,7 @@
   sent(promptTokens: number, now: number): void {
     this.#inProgress += 1;
     this.#sent = [...this.#sent, { at: now, promptTokens }].slice(
-      -MAXIMUM_SENT,
+      -MAXIMUM_TRACKED_REQUESTS,
     );
   }
 
@@ -72,15 +72,15 @@
     this.#inProgress = Math.max(0, this.#inProgress - 1);
     this.#ended += 1;
     if (!failed) return;
-    this.#failures = [...this.#failures, now].slice(-MAXIMUM_SENT);
+    this.#failures = [...this.#failures, now].slice(-MAXIMUM_TRACKED_REQUESTS);
   }
 
   /** Estimates the load, given the number of hosts that send alike. */
   estimate(now: number, hosts: number): EstimatedLoad {
     this.#failures = this.#failures.filter(
-      (at) => now - at < FAILURE_MILLISECONDS,
+      (at) => now - at < FAILURE_LOAD_MILLISECONDS,
     );
-    const { running, waiting, promptTokensWaiting } = this.#reported;
+    const { running, waiting, promptTokensWaiting } = this.#report;
     const sentTokens = this.#sent.reduce(
       (sum, { promptTokens }) => sum + promptTokens,
       0,
