--- a/packages/rampswitch-configuration/src/configuration_state.ts
+++ b/packages/rampswitch-configuration/src/configuration_state.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The resources of one revision and how deltas change them.
+ * The resources of one revision, and how deltas change them.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   type ResourceKind,
 } from "rampswitch-types";
 
-/** A resource and the revision that last changed it. */
+/** A resource with the revision that last changed it. */
 export interface RevisedResource {
   readonly revision: number;
   readonly resource: Resource;
@@ -23,7 +23,7 @@
   readonly resources: ReadonlyMap<string, RevisedResource>;
 }
 
-/** One edit within a change. */
+/** One edit of a change. */
 export type Edit =
   | { readonly kind: "put"; readonly resource: Resource }
   | {
@@ -35,7 +35,10 @@
 /** One accepted change. */
 export interface Delta {
   readonly revision: number;
-  /** Chosen by the operator's program; settles lost answers. */
+  /**
+   * Chosen by the operator's program. A change whose answer was lost is sent
+   * again with the same id and is applied only once.
+   */
   readonly changeId: string;
   readonly operator: string;
   /** Milliseconds since the epoch, by the accepting host's clock. */
@@ -49,7 +52,7 @@
   resources: new Map(),
 };
 
-/** Key of the resource that an edit touches. */
+/** Key of the resource that an edit changes. */
 export function editKey(edit: Edit): string {
   return edit.kind === "put"
     ? resourceKey(edit.resource)
@@ -57,8 +60,9 @@
 }
 
 /**
- * Applies the deltas that follow a state directly. Deltas at or below its
- * revision are passed over; after a gap the rest is left out.
+ * Applies the deltas that directly follow a state's revision, in any order.
+ * Deltas at or below that revision are ignored, and so are all deltas after a
+ * missing revision.
  */
 export function applyDeltas(
   state: ConfigurationState,
@@ -85,7 +89,7 @@
   else resources.set(editKey(edit), { revision, resource: edit.resource });
 }
 
-/** All resources of one kind, by name. */
+/** All resources of one kind, sorted by name. */
 export function resourcesOf<Kind extends ResourceKind>(
   state: ConfigurationState,
   kind: Kind,
--- a/packages/rampswitch-configuration/src/decisions_test.ts
+++ b/packages/rampswitch-configuration/src/decisions_test.ts
@@ -42,39 +42,39 @@
 }
 
 const FRESHNESS_CASES: readonly FreshnessCase[] = [
-  { name: "confirmed lately", facts: {}, freshness: "fresh" },
+  { name: "confirmed recently", facts: {}, freshness: "fresh" },
   {
     name: "never confirmed",
     facts: { confirmedAt: undefined },
     freshness: "never",
   },
   {
-    name: "cut off from the store, not from peers that reach it",
+    name: "no contact with the store, but with peers that reach it",
     facts: { confirmedAt: 0, peersReachingStore: 1 },
     freshness: "isolated",
   },
   {
-    name: "cut off from peers, and the store",
+    name: "no contact with peers or the store",
     facts: { confirmedAt: 0, peersHeard: 0 },
     freshness: "isolated",
   },
   {
-    name: "store down for all",
+    name: "store unreachable for all hosts",
     facts: { confirmedAt: 0 },
     freshness: "store_down",
   },
   {
-    name: "half of the hosts together without the store",
+    name: "half of the hosts in contact, without the store",
     facts: { confirmedAt: 0, peersHeard: 4 },
     freshness: "store_down",
   },
   {
-    name: "fewer than half together without the store",
+    name: "fewer than half in contact, without the store",
     facts: { confirmedAt: 0, peersHeard: 3 },
     freshness: "isolated",
   },
   {
-    name: "fewer than half, allowed by the settings",
+    name: "fewer than half in contact, allowed by the settings",
     facts: { confirmedAt: 0, peersHeard: 3 },
     minorityServes: true,
     freshness: "store_down",
@@ -86,7 +86,7 @@
   },
 ];
 
-describe("freshness is judged:", () => {
+describe("freshness:", () => {
   test.each(FRESHNESS_CASES)(
     "$name",
     ({ facts, minorityServes = false, freshness }) => {
@@ -121,28 +121,28 @@
 };
 
 describe("a lease", () => {
-  test("is not taken before its holder surely thinks it over", () => {
+  test("is not taken before it has expired by its holder's clock", () => {
     expect(decideLease(OTHER_HOSTS_LEASE, TERMS)).toEqual({
       kind: "wait",
       until: 101_000,
     });
   });
 
-  test("is taken with a higher epoch afterwards", () => {
+  test("is taken with a higher epoch after that", () => {
     const decision = decideLease(OTHER_HOSTS_LEASE, { ...TERMS, now: 101_000 });
     expect(decision).toMatchObject({
       lease: { holder: "a", epoch: 5, formerExpiresAt: 99_000 },
     });
   });
 
-  test("is not held by a holder that paused past it", () => {
+  test("is not held by a holder that was paused almost until it expires", () => {
     const decision = decideLease(undefined, TERMS);
     const lease = decision.kind === "write" ? decision.lease : undefined;
     expect(holds(lease, TERMS)).toBe(true);
     expect(holds(lease, { ...TERMS, now: 114_000 })).toBe(false);
   });
 
-  test("gets a new epoch when its own holder comes back late", () => {
+  test("gets a new epoch when its own holder renews it too late", () => {
     const own = { ...OTHER_HOSTS_LEASE, holder: "a" };
     const late = decideLease(own, { ...TERMS, now: 102_000 });
     expect(late).toMatchObject({ lease: { epoch: 5 } });
@@ -173,42 +173,42 @@
 
 const ORDER_CASES: readonly OrderCase[] = [
   {
-    name: "a server that checks epochs gets it at once",
+    name: "is sent at once to a server that checks epochs",
     kind: "load_model",
     checks: true,
     now: 102_000,
     decision: { kind: "send" },
   },
   {
-    name: "a harmless order goes at once to a server that does not check",
+    name: "is sent at once to a server that does not check, if harmless",
     kind: "load_adapter",
     checks: false,
     now: 102_000,
     decision: { kind: "send" },
   },
   {
-    name: "any other waits until the former holder's orders are over",
+    name: "waits until no order of the former holder can arrive",
     kind: "load_model",
     checks: false,
     now: 102_000,
     decision: { kind: "wait", until: 107_000 },
   },
   {
-    name: "and goes after that",
+    name: "is sent after that",
     kind: "load_model",
     checks: false,
     now: 108_000,
     decision: { kind: "send" },
   },
   {
-    name: "but not so late that it could arrive after the lease",
+    name: "is not sent so late that it could arrive after the lease",
     kind: "load_model",
     checks: false,
     now: 116_000,
     decision: { kind: "withhold" },
   },
   {
-    name: "nobody orders without the lease",
+    name: "is not sent without the lease",
     kind: "load_adapter",
     checks: true,
     now: 119_000,
@@ -247,7 +247,7 @@
   };
 }
 
-/** A fleet that gossips by the pure functions, one round a second. */
+/** A simulated fleet that exchanges digests, one round a second. */
 class Gossip {
   readonly #rates = {
     heartbeatMilliseconds: 1_000,
@@ -284,7 +284,7 @@
     });
   }
 
-  /** Identities that living hosts suspect, once for each that does. */
+  /** Identities that running hosts suspect, one for each host that suspects. */
   suspicions(): readonly string[] {
     return this.#views
       .filter((_, host) => !this.#killed.has(host))
@@ -317,14 +317,14 @@
   }
 
   #sendDigests(from: number, to: number, now: number): void {
-    const passedOn = digestsToSend(this.#views[from]!, now, {
+    const forwarded = digestsToSend(this.#views[from]!, now, {
       count: this.#rates.digests,
       random: this.#random,
     }).filter(({ host }) => host.name !== `h${to}`);
     const own = digest(`h${from}`, { heartbeat: this.#round });
     this.#views[to] = mergeDigests(
       this.#views[to]!,
-      [own, ...passedOn],
+      [own, ...forwarded],
       now,
     ).members;
   }
@@ -347,7 +347,7 @@
     expect(trusted(twice.members)).toHaveLength(1);
   });
 
-  test("waits longer for news of each host as the fleet grows", () => {
+  test("allows a longer silence of each host as the fleet grows", () => {
     const rates = {
       heartbeatMilliseconds: 1_000,
       peers: 3,
@@ -361,7 +361,7 @@
     expect(large.others).toBeCloseTo(133_333, -1);
   });
 
-  test("suspects the dead and nobody else among 60 hosts", () => {
+  test("suspects only the ended host among 60 hosts", () => {
     const fleet = new Gossip(60);
     fleet.run(40);
     expect(fleet.suspicions()).toEqual([]);
@@ -372,7 +372,7 @@
     expect(suspected).toHaveLength(59);
   });
 
-  test("takes a later process of the same name as proof", () => {
+  test("treats a later process of the same name as proof of an end", () => {
     const joined = mergeDigests(new Map(), [digest("a")], 0).members;
     const later = digest("a");
     const merged = mergeDigests(
@@ -384,7 +384,7 @@
     expect([...merged.members.keys()]).toEqual(["a~2"]);
   });
 
-  test("does not bring an earlier process back", () => {
+  test("does not add an earlier process again", () => {
     const later = digest("a");
     const now = mergeDigests(
       new Map(),
@@ -405,7 +405,7 @@
     deadline: undefined,
   };
 
-  test("only grows: a deadline is added and brought forward", () => {
+  test("only gets earlier: a deadline is added and brought forward", () => {
     const first = addMarks(new Map(), [mark], 20);
     const sooner = addMarks(first.marks, [{ ...mark, deadline: 50 }], 20);
     const later = addMarks(sooner.marks, [{ ...mark, deadline: 90 }], 20);
@@ -413,7 +413,7 @@
     expect(later.marks.get("h")?.deadline).toBe(50);
   });
 
-  test("ends a while after its host, and does not come round again", () => {
+  test("expires some time after its host and is not added again", () => {
     const dated = { ...mark, deadline: 50 };
     const { marks } = addMarks(new Map(), [dated], 20);
     expect(endMarks(marks, 60_049).size).toBe(1);
@@ -421,7 +421,7 @@
     expect(addMarks(new Map(), [dated], 60_050).news).toEqual([]);
   });
 
-  test("does not concern a later process of the same name", () => {
+  test("does not apply to a later process of the same name", () => {
     const dated = { ...mark, deadline: 50 };
     expect(markConcerns(dated, 40)).toBe(true);
     expect(markConcerns(dated, 60)).toBe(false);
--- a/packages/rampswitch-configuration/src/freshness.ts
+++ b/packages/rampswitch-configuration/src/freshness.ts
@@ -1,40 +1,47 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Whether a host may take new work with the configuration that it has.
+ * Decides whether a host's configuration is fresh enough to take new work.
  *
  * @module
  */
 
-/** What a host knows about the age of its configuration. */
+/** Inputs of the freshness of a host's configuration. */
 export interface FreshnessInputs {
   readonly now: number;
-  /** When somebody last confirmed that this revision is the head. */
+  /**
+   * When this revision was last confirmed to be the head; `undefined` if it
+   * never was.
+   */
   readonly confirmedAt: number | undefined;
-  /** Other entry hosts that should be there. */
+  /** Number of other entry hosts that are expected. */
   readonly peersKnown: number;
-  /** Other entry hosts heard from within the limit. */
+  /** Number of other entry hosts from which gossip was received in time. */
   readonly peersHeard: number;
-  /** Of those, the ones that reach the store. */
+  /** Number of these hosts that reach the store. */
   readonly peersReachingStore: number;
 }
 
-/** Limits of freshness. */
+/** Limits of the freshness. */
 export interface FreshnessLimits {
+  /** Maximum time since the configuration was confirmed. */
   readonly milliseconds: number;
   /** Whether a group smaller than half of the hosts takes new work. */
   readonly minorityServes: boolean;
 }
 
 /**
- * `fresh`: confirmed within the limit. `store_down`: nobody within reach sees
- * the store and they are at least half, so nothing can be accepted elsewhere
- * by a larger group. `isolated`: a change may be in force elsewhere.
- * `never`: no configuration was ever confirmed here.
+ * Freshness of a host's configuration:
+ *
+ * - `fresh`: confirmed within the limit.
+ * - `store_down`: none of the hosts in contact reaches the store, and they are
+ *   at least half of all hosts, so that no larger group can accept a change.
+ * - `isolated`: a change may be in force on other hosts.
+ * - `never`: no configuration was ever confirmed on this host.
  */
 export type Freshness = "fresh" | "store_down" | "isolated" | "never";
 
-/** Judges the freshness of a host's configuration. */
+/** Evaluates the freshness of a host's configuration. */
 export function judgeFreshness(
   inputs: FreshnessInputs,
   limits: FreshnessLimits,
@@ -50,7 +57,7 @@
   return largeEnough ? "store_down" : "isolated";
 }
 
-/** Whether a freshness allows new work. */
+/** Whether a host takes new work, by the freshness of its configuration. */
 export const TAKES_NEW_WORK: Readonly<Record<Freshness, boolean>> = {
   fresh: true,
   store_down: true,
--- a/packages/rampswitch-configuration/src/lease.ts
+++ b/packages/rampswitch-configuration/src/lease.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Leases in the platform's store, with an epoch that grows with each holder so
- * that orders of a former holder can be told apart.
+ * Leases in the platform's store. Their epoch increases with each new holder,
+ * so that orders of a former holder can be recognized.
  *
  * @module
  */
@@ -11,29 +11,36 @@
 /** Value of a lease object. */
 export interface Lease {
   readonly holder: string;
-  /** Grows by one with each change of holder. */
+  /** Increases by one when the lease is taken anew. */
   readonly epoch: number;
   /** Milliseconds since the epoch, by the holder's clock. */
   readonly expiresAt: number;
-  /** End of the former holder's lease; its orders may still arrive. */
+  /**
+   * When the former lease expired; orders under it may still arrive after that.
+   * 0 for the first lease.
+   */
   readonly formerExpiresAt: number;
 }
 
-/** What to do with a lease object. */
+/** Decision on a lease object. */
 export type LeaseDecision =
   | { readonly kind: "write"; readonly lease: Lease }
   | { readonly kind: "wait"; readonly until: number };
 
-/** Who asks for a lease, and on what terms. */
+/** The host that requests a lease, and the terms of the lease. */
 export interface LeaseTerms {
+  /** Name of this host as a holder. */
   readonly self: string;
   readonly now: number;
   readonly durationMilliseconds: number;
-  /** Largest difference between the clocks of two hosts. */
+  /** Maximum difference between the clocks of two hosts. */
   readonly clockSkewMilliseconds: number;
 }
 
-/** Decides whether to take, renew or wait for a lease. */
+/**
+ * Decides whether to take a lease, to renew it or to wait for it. A host waits
+ * until the former lease has expired by the clock of every host.
+ */
 export function decideLease(
   current: Lease | undefined,
   terms: LeaseTerms,
@@ -64,7 +71,10 @@
   return { kind: "write", lease };
 }
 
-/** Whether a host may act under a lease at a time. */
+/**
+ * Whether this host may act under a lease now. The lease ends early by the clock
+ * skew, so that no other host can hold it already.
+ */
 export function holds(lease: Lease | undefined, terms: LeaseTerms): boolean {
   return (
     lease?.holder === terms.self &&
@@ -83,7 +93,7 @@
 /** One kind of {@link ORDER_KINDS}. */
 export type OrderKind = (typeof ORDER_KINDS)[number];
 
-/** An order under a lease. */
+/** An order to a backend server under a lease. */
 export interface Order {
   readonly kind: OrderKind;
   readonly name: string;
@@ -91,7 +101,7 @@
   readonly epoch: number;
 }
 
-/** Whether an order does no harm when it arrives late. */
+/** Whether an order is harmless if it arrives late. */
 export const HARMLESS_WHEN_LATE: Readonly<Record<OrderKind, boolean>> = {
   load_model: false,
   load_adapter: true,
@@ -99,20 +109,21 @@
   change_role: false,
 };
 
-/** What to do with an order now. */
+/** Decision on sending an order now. */
 export type OrderDecision =
   | { readonly kind: "send" }
   | { readonly kind: "wait"; readonly until: number }
   | { readonly kind: "withhold" };
 
-/** Longest time that an order can be on its way, in milliseconds. */
+/** Maximum time from sending an order to its arrival, in milliseconds. */
 export const MAXIMUM_ORDER_DELIVERY_MILLISECONDS = 5_000;
 
 /**
- * Decides whether an order may go to a backend server. One that checks the
- * epoch gets it at once; another gets harmless orders at once and all others
- * after the former holder's lease and the flight of its orders are over, and
- * none in the last flight time of this lease.
+ * Decides whether an order may be sent to a backend server now. A server that
+ * checks the epoch of orders gets each order at once. A server that does not
+ * gets harmless orders at once; any other order is sent only when no order
+ * under the former lease can arrive any more, and early enough to arrive before
+ * this lease expires.
  */
 export function decideOrder(
   kind: OrderKind,
--- a/packages/rampswitch-configuration/src/leaving_marks.ts
+++ b/packages/rampswitch-configuration/src/leaving_marks.ts
@@ -1,13 +1,14 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Marks of hosts that are leaving. A mark only grows: it is never taken back
- * while the host lives, and it ends some time after the host's life.
+ * Marks of hosts that are leaving. A mark is never withdrawn while the host
+ * runs, its deadline can only become earlier, and it expires some time after the
+ * host has ended.
  *
  * @module
  */
 
-/** Sources from which news of a leaving host comes. */
+/** Sources that report that a host is leaving. */
 export const LEAVING_SOURCES = [
   "cloud_notice",
   "host_list",
@@ -18,45 +19,48 @@
 /** One source of {@link LEAVING_SOURCES}. */
 export type LeavingSource = (typeof LEAVING_SOURCES)[number];
 
-/** A host is leaving. */
+/** A mark that a host is leaving. */
 export interface LeavingMark {
   readonly host: string;
   readonly source: LeavingSource;
-  /** When it was first known, in milliseconds since the epoch. */
+  /** When it was first reported, in milliseconds since the epoch. */
   readonly since: number;
-  /** When the host is taken; absent where nobody said. */
+  /**
+   * When the host is reclaimed, in milliseconds since the epoch; `undefined` if
+   * no source reported it.
+   */
   readonly deadline: number | undefined;
 }
 
-/** All marks that one entry host knows, by host. */
+/** All marks that one entry host has, by the name of the marked host. */
 export type LeavingMarks = ReadonlyMap<string, LeavingMark>;
 
-/** Marks after news, and those that were new. */
+/** All marks after an update, and the marks that changed them. */
 export interface MarkUpdate {
   readonly marks: LeavingMarks;
   readonly news: readonly LeavingMark[];
 }
 
-/** How long a mark without a deadline holds; sources tell it again. */
+/** Validity of a mark without a deadline; sources report it again in this time. */
 const UNDATED_MARK_MILLISECONDS = 600_000;
 
-/** Time after the end of a host's life in which its mark still holds. */
+/** Time after the end of a host during which its mark is still valid. */
 const MARK_GRACE_MILLISECONDS = 60_000;
 
-/** When a mark ends: its host is gone by then, the name may be used anew. */
+/** When a mark expires: its host has ended, and its name can be used again. */
 export function markExpiresAt(mark: LeavingMark): number {
   const end = mark.deadline ?? mark.since + UNDATED_MARK_MILLISECONDS;
   return end + MARK_GRACE_MILLISECONDS;
 }
 
-/** Whether a mark speaks of a process that started at a time. */
+/** Whether a mark applies to a process that started at a given time. */
 export function markConcerns(mark: LeavingMark, startedAt: number): boolean {
   return (mark.deadline ?? mark.since) > startedAt;
 }
 
 /**
- * Adds marks; a known one keeps its earliest time and deadline. Marks that are
- * over change nothing, so that old news cannot come round again.
+ * Adds marks; each host keeps its earliest time and its earliest deadline.
+ * Expired marks are ignored, so that they cannot spread again.
  */
 export function addMarks(
   marks: LeavingMarks,
@@ -80,7 +84,7 @@
   return { marks: next, news };
 }
 
-/** Ends marks whose time is over. */
+/** Removes expired marks. */
 export function endMarks(marks: LeavingMarks, now: number): LeavingMarks {
   const anyExpired = [...marks.values()].some(
     (mark) => markExpiresAt(mark) <= now,
@@ -90,7 +94,7 @@
     : marks;
 }
 
-/** A mark whose host still lives; one past its deadline is of another life. */
+/** The mark, unless its deadline has passed: then its incarnation has ended. */
 function currentMark(
   mark: LeavingMark | undefined,
   now: number,
@@ -100,7 +104,7 @@
 
 const NO_DEADLINE = Number.POSITIVE_INFINITY;
 
-/** Whether a mark says nothing that is not known, of whichever life. */
+/** Whether a known mark, of any incarnation of the host, makes a mark redundant. */
 function isCovered(known: LeavingMark | undefined, mark: LeavingMark): boolean {
   return (
     known !== undefined &&
@@ -109,6 +113,7 @@
   );
 }
 
+/** Whether a mark is the first for its host or has an earlier deadline. */
 function changesMark(
   known: LeavingMark | undefined,
   mark: LeavingMark,
@@ -119,6 +124,7 @@
   );
 }
 
+/** Merges two marks of one host, with the earliest time and deadline. */
 function mergeMarks(
   known: LeavingMark | undefined,
   mark: LeavingMark,
--- a/packages/rampswitch-configuration/src/membership.ts
+++ b/packages/rampswitch-configuration/src/membership.ts
@@ -2,34 +2,35 @@
 
 /**
  * Membership of the entry hosts: heartbeats that spread by gossip, suspicion
- * with hysteresis, and proof that a process is gone. Suspicion only costs
- * availability; safety is in the epochs of the slots.
+ * with hysteresis, and proof that a process has ended. A wrong suspicion only
+ * reduces availability; safety depends on the epochs of the slots.
  *
  * @module
  */
 import type { Host, HostId } from "rampswitch-types";
 import type { Random } from "rampswitch-utils";
 
-/** What a host tells about itself with each heartbeat. */
+/** State that a host reports about itself with each heartbeat. */
 export interface HostDigest {
   readonly host: Host;
-  /** Grows with each heartbeat. */
+  /** Counter that increases with each heartbeat. */
   readonly heartbeat: number;
+  /** Revision of the host's configuration. */
   readonly revision: number;
-  /** Milliseconds since its revision was last confirmed; -1 for never. */
+  /** Milliseconds since that revision was last confirmed; -1 for never. */
   readonly confirmedAge: number;
   readonly reachesStore: boolean;
   readonly leaving: boolean;
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly load: number;
 }
 
-/** A member as one host sees it. */
+/** State of a member as observed by one host. */
 export interface Member {
   readonly digest: HostDigest;
-  /** Local time at which the heartbeat last grew. */
+  /** Local time at which a higher heartbeat was last received. */
   readonly heardAt: number;
-  /** Growths since it was last suspected. */
+  /** Number of higher heartbeats received since it was last suspected. */
   readonly growths: number;
   readonly suspected: boolean;
 }
@@ -37,18 +38,22 @@
 /** Members by identity. */
 export type Members = ReadonlyMap<HostId, Member>;
 
-/** Members after news, and identities proved gone by a successor. */
+/** Result of merging digests into the members. */
 export interface MergedMembers {
   readonly members: Members;
-  /** Identities that a later process of the same name replaced. */
+  /**
+   * Identities of processes that are proved to have ended, because a later
+   * process has the same host name.
+   */
   readonly replaced: readonly HostId[];
+  /** Identities that were not members before. */
   readonly joined: readonly HostId[];
 }
 
-/** Heartbeats in a row that end a suspicion. */
+/** Number of heartbeats that end a suspicion. */
 const HEARTBEATS_TO_TRUST = 2;
 
-/** Takes in digests heard at a local time. */
+/** Merges digests, received at a local time, into the members. */
 export function mergeDigests(
   members: Members,
   digests: readonly HostDigest[],
@@ -95,7 +100,7 @@
   };
 }
 
-/** Marks members as suspected whose heartbeat has not grown for a while. */
+/** Marks members as suspected that have been silent for longer than their limit. */
 export function suspectSilent(
   members: Members,
   now: number,
@@ -118,37 +123,39 @@
   return next;
 }
 
-/** How hosts send heartbeats. */
+/** Parameters of the gossip between hosts. */
 export interface GossipParameters {
   readonly heartbeatMilliseconds: number;
-  /** Hosts that each heartbeat goes to. */
+  /** Number of hosts to which each heartbeat is sent. */
   readonly peers: number;
-  /** Digests of others in each message. */
+  /** Number of digests of other hosts in each message. */
   readonly digests: number;
-  /** Of the peers, the ones that share slots with the sender. */
+  /** Number of these peers that share slots with the sender. */
   readonly partnersPerHeartbeat: number;
-  /** Shortest silence that raises suspicion. */
+  /** Minimum silence after which a member is suspected. */
   readonly suspectMilliseconds: number;
 }
 
-/** Silences after which members are suspected. */
+/** Silences after which members are suspected, in milliseconds. */
 export interface SilenceLimits {
-  /** For hosts that share slots with this one and are asked in turn. */
+  /** For hosts that share slots with this one, to which heartbeats go in turn. */
   readonly partners: number;
-  /** For all others, of whom news travels by digests. */
+  /** For all other hosts, whose heartbeats mostly arrive in digests. */
   readonly others: number;
 }
 
 /**
- * Times that news is awaited, in units of its usual interval. News of others
- * comes at random: among thousands of pairs of hosts some wait very long.
+ * Silence limit of a host that is not a partner, in mean intervals between its
+ * heartbeats. They arrive at random times: among thousands of pairs of hosts
+ * some intervals are many times the mean.
  */
 const OTHERS_SILENCE_INTERVALS = 20;
+/** Silence limit of a partner, in intervals between its heartbeats. */
 const PARTNERS_SILENCE_INTERVALS = 1.5;
 
 /**
- * Works out how long silence must last before it means anything: the more
- * hosts there are, the longer news of each takes to come round.
+ * Computes the silence after which members are suspected. It grows with the
+ * number of hosts, because the heartbeats of each host then arrive less often.
  */
 export function silenceLimits(
   counts: { readonly members: number; readonly partners: number },
@@ -172,7 +179,7 @@
   };
 }
 
-/** Forgets members that have been silent for very long. */
+/** Removes members that have been silent for longer than a limit. */
 export function forgetSilent(
   members: Members,
   now: number,
@@ -185,12 +192,12 @@
   );
 }
 
-/** Members that are not suspected, by identity. */
+/** Members that are not suspected. */
 export function trusted(members: Members): readonly Member[] {
   return [...members.values()].filter(({ suspected }) => !suspected);
 }
 
-/** Chooses members to send a heartbeat to. */
+/** Chooses the members to send a heartbeat to: those in `always`, then at random. */
 export function heartbeatTargets(
   members: Members,
   random: Random,
@@ -205,7 +212,7 @@
   return [...always, ...sample(others, options.count - always.length, random)];
 }
 
-/** Draws some different items. */
+/** Draws up to `count` different items at random. */
 export function sample<Item>(
   items: readonly Item[],
   count: number,
@@ -220,8 +227,9 @@
 }
 
 /**
- * Digests to send along: the freshest news first, so that changes travel fast
- * and a message keeps its size as the fleet grows.
+ * Digests of other hosts to send with a heartbeat: half of them the most recent
+ * ones, so that changes spread fast, and the rest at random. Their number is
+ * fixed, so that messages do not grow with the fleet.
  */
 export function digestsToSend(
   members: Members,
@@ -240,7 +248,7 @@
   return [...newest, ...rest].map((member) => withCurrentAge(member, now));
 }
 
-/** A digest whose ages count the time that it has lain here. */
+/** A member's digest; its age includes the time since it was received. */
 function withCurrentAge({ digest, heardAt }: Member, now: number): HostDigest {
   return digest.confirmedAge < 0
     ? digest
--- a/packages/rampswitch-configuration/src/mod.ts
+++ b/packages/rampswitch-configuration/src/mod.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Pure core of configuration, membership, leaving marks and leases.
+ * Configuration, membership, leaving marks and leases, as functions without
+ * I/O.
  *
  * @module
  */
--- a/packages/rampswitch-configuration/src/order_plan.ts
+++ b/packages/rampswitch-configuration/src/order_plan.ts
@@ -1,15 +1,15 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which orders bring backend servers to what their service asks for: a model,
- * adapter and version to load, and a role, as the service's labels say.
+ * Plans the orders that bring backend servers to the state that the labels of
+ * their service require: a model, an adapter and a version to load, and a role.
  *
  * @module
  */
 import type { BackendServer, Service } from "rampswitch-types";
 import type { OrderKind } from "./lease.ts";
 
-/** Labels of a service that ask for something, and the order that brings it. */
+/** Labels of a service that require an order, with the kind of that order. */
 export const ORDER_LABELS: Readonly<Record<string, OrderKind>> = {
   "order/model": "load_model",
   "order/adapter": "load_adapter",
@@ -17,25 +17,25 @@
   "order/role": "change_role",
 };
 
-/** An order that is due at a server. */
+/** An order that a server is to get. */
 export interface DueOrder {
   readonly server: BackendServer;
   readonly kind: OrderKind;
   readonly name: string;
 }
 
-/** Orders that were answered under the present lease, as `server kind name`. */
+/** Keys of the orders that were answered under the current lease. */
 export type AnsweredOrders = ReadonlySet<string>;
 
-/** Key of an order among those that are done. */
+/** Key of an order: `server kind name`. */
 export function orderKey(order: DueOrder): string {
   return `${order.server.name} ${order.kind} ${order.name}`;
 }
 
 /**
- * Orders to send now: those not done yet, at most `atOnce`, so that a change
- * of version never takes all servers away together. A server's own label goes
- * before its service's.
+ * Orders to send now: those not answered yet, up to a maximum number, so that a
+ * change of version never makes all servers unavailable at the same time. A
+ * server's own label takes precedence over the label of its service.
  */
 export function planOrders(
   service: Service,
--- a/packages/rampswitch-configuration/src/reference_check.ts
+++ b/packages/rampswitch-configuration/src/reference_check.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Checks that resources name only what exists.
+ * Checks that resources refer only to resources that exist.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   state: ConfigurationState,
 ) => readonly string[];
 
-/** Problems with references after a change, one line each. */
+/** Invalid references after a change; one line for each. */
 export function referenceProblems(
   state: ConfigurationState,
   edits: readonly Edit[],
@@ -69,7 +69,7 @@
     .filter(({ service }) => service === edit.name)
     .map(
       ({ name }) =>
-        `Service/${edit.name}: BackendServer/${name} names it, ` +
+        `Service/${edit.name}: BackendServer/${name} refers to it, ` +
         "expected no such backend server",
     );
 }
--- a/packages/rampswitch-configuration/src/revision_log.ts
+++ b/packages/rampswitch-configuration/src/revision_log.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The ordered log of revisions as the platform keeps it: a head object with
- * the latest deltas, and snapshots cut into parts below a megabyte.
+ * The ordered log of revisions as it is stored in the platform's store: a head
+ * object with the latest deltas, and snapshots split into parts of less than a
+ * megabyte.
  *
  * @module
  */
@@ -17,27 +18,33 @@
 } from "./configuration_state.ts";
 import { referenceProblems } from "./reference_check.ts";
 
-/** Key of the head object. */
+/** Store key of the head object. */
 export const HEAD_KEY = "configuration/head";
 
-/** Prefix of the parts of all snapshots. */
+/** Prefix of the store keys of all parts of snapshots. */
 export const SNAPSHOT_PREFIX = "configuration/snapshot/";
 
+/** Latest change ids that the head retains to recognize a repeated change. */
 const RETAINED_CHANGE_IDS = 256;
+/** Latest deltas that the head retains after a snapshot. */
 const RETAINED_DELTAS = 16;
+/** Size of the head's deltas above which a snapshot is written. */
 const COMPACTION_THRESHOLD_BYTES = 16 * 1024;
+/** Maximum size of a part of a snapshot, unless one resource is larger. */
 const MAXIMUM_PART_BYTES = 512 * 1024;
+/** Maximum size of the edits of a change. */
 const MAXIMUM_CHANGE_BYTES = 256 * 1024;
 
-/** A change id and the revision that it became. */
+/** The id of an accepted change and the revision that the change created. */
 export interface SettledChange {
   readonly changeId: string;
   readonly revision: number;
 }
 
-/** A snapshot that the head names. */
+/** The snapshot that the head refers to. */
 export interface SnapshotReference {
   readonly revision: number;
+  /** Number of parts. */
   readonly parts: number;
 }
 
@@ -45,8 +52,12 @@
 export interface Head {
   readonly revision: number;
   readonly snapshot: SnapshotReference;
-  /** Deltas up to `revision`; the first follows the snapshot or precedes it. */
+  /**
+   * Deltas up to `revision`, without gaps. The first one directly follows the
+   * snapshot's revision or is at or below it.
+   */
   readonly deltas: readonly Delta[];
+  /** The latest accepted changes. */
   readonly settled: readonly SettledChange[];
 }
 
@@ -58,37 +69,43 @@
   settled: [],
 };
 
-/** A change as an operator asks for it. */
+/** A change that an operator requests. */
 export interface ChangeRequest {
   readonly changeId: string;
   readonly operator: string;
-  /** Revision that the operator saw; later changes of the same resources
-   * conflict. */
+  /**
+   * Revision on which the operator based the change; later changes of the same
+   * resources conflict with it.
+   */
   readonly baseRevision: number;
   readonly edits: readonly Edit[];
 }
 
-/** A resource that another operator changed meanwhile. */
+/** A resource that was changed after the base revision. */
 export interface Conflict {
   readonly key: string;
-  /** Revision of the other change; absent where it was deleted. */
+  /** Revision of the other change; `undefined` if it deleted the resource. */
   readonly revision: number | undefined;
+  /** The resource now; `undefined` if it was deleted. */
   readonly current: RevisedResource["resource"] | undefined;
 }
 
-/** How a change ended, as told to the operator. */
+/** Outcome of a change, as reported to the operator. */
 export type ChangeOutcome =
   | { readonly kind: "accepted"; readonly revision: number }
   | { readonly kind: "conflict"; readonly conflicts: readonly Conflict[] }
   | { readonly kind: "invalid"; readonly problems: readonly string[] }
   | { readonly kind: "unknown"; readonly changeId: string };
 
-/** A head with one more change, or why the change is not taken. */
+/** The head with the change appended, or the outcome if nothing is appended. */
 export type ChangeDecision =
   | { readonly kind: "append"; readonly head: Head; readonly delta: Delta }
   | { readonly kind: "end"; readonly outcome: ChangeOutcome };
 
-/** Decides on a change against the head and the state of its revision. */
+/**
+ * Decides on a change, given the head and the state at the head's revision. A
+ * change whose id is already in the head is not applied again.
+ */
 export function decideChange(
   head: Head,
   state: ConfigurationState,
@@ -160,7 +177,7 @@
   };
 }
 
-/** Whether the deltas of a head have grown enough to cut a snapshot. */
+/** Whether a head has enough deltas, in number and size, to write a snapshot. */
 export function needsCompaction(head: Head): boolean {
   return (
     head.deltas.length > RETAINED_DELTAS &&
@@ -168,12 +185,12 @@
   );
 }
 
-/** Key of one part of a snapshot. */
+/** Store key of one part of a snapshot. */
 export function snapshotKey(revision: number, part: number): string {
   return `${SNAPSHOT_PREFIX}${revision}/${part}`;
 }
 
-/** Cuts the state into the values of a snapshot's parts. */
+/** Splits a state into the values of a snapshot's parts. */
 export function snapshotParts(state: ConfigurationState): readonly string[] {
   const rows = [...state.resources].map((row) => JSON.stringify(row));
   const parts = rows.reduce<readonly (readonly string[])[]>((cut, row) => {
@@ -186,7 +203,7 @@
   return parts.map((part) => `[${part.join(",")}]`);
 }
 
-/** Joins the parts of a snapshot. */
+/** Reads a state from the values of a snapshot's parts. */
 export function readSnapshot(
   revision: number,
   parts: readonly string[],
@@ -198,7 +215,7 @@
   return { revision, resources: new Map(rows) };
 }
 
-/** The head after a snapshot of its revision was written. */
+/** The head after a snapshot was written; older deltas are removed. */
 export function compacted(head: Head, snapshot: SnapshotReference): Head {
   return {
     ...head,
@@ -209,7 +226,11 @@
   };
 }
 
-/** Snapshots that no reader can need any more, by their revisions. */
+/**
+ * Revisions of the snapshots that no reader needs any more: all that are older
+ * than the head's snapshot, except the newest of them, which a slow reader may
+ * still be reading.
+ */
 export function obsoleteSnapshots(
   head: Head,
   present: readonly number[],
@@ -225,8 +246,8 @@
 }
 
 /**
- * Moves a state forward by a head's deltas; fails where they start too late
- * and the snapshot has to be read.
+ * Advances a state to the head's revision by the head's deltas. Fails with
+ * `snapshot_needed` if they start too late and the snapshot must be read.
  */
 export function advance(
   state: ConfigurationState,
@@ -239,7 +260,7 @@
     : Result.err("snapshot_needed");
 }
 
-/** Reads the value of a head object. */
+/** Parses the value of a head object; without a value the head is empty. */
 export function parseHead(value: string | undefined): Head {
   return value === undefined ? EMPTY_HEAD : (JSON.parse(value) as Head);
 }
--- a/packages/rampswitch-configuration/src/revision_log_test.ts
+++ b/packages/rampswitch-configuration/src/revision_log_test.ts
@@ -53,7 +53,7 @@
   return decideChange(head, state, { request, now: 1 });
 }
 
-/** Takes a change in, or fails the test. */
+/** Applies a change that must be accepted. */
 function accept(head: Head, state: ConfigurationState, request: ChangeRequest) {
   const decision = decide(head, state, request);
   if (decision.kind !== "append") throw new Error(JSON.stringify(decision));
@@ -69,7 +69,7 @@
 }
 
 describe("configuration-in-force: the log", () => {
-  test("takes the same change id once, whatever came between", () => {
+  test("applies a change id once, whatever was accepted in between", () => {
     const first = accept(EMPTY_HEAD, EMPTY_CONFIGURATION, put("x"));
     const second = accept(
       first.head,
@@ -82,7 +82,7 @@
     });
   });
 
-  test("lets one of two operators win and shows the other what changed", () => {
+  test("accepts one of two operators' changes and reports the conflict", () => {
     const { head, state } = accept(
       EMPTY_HEAD,
       EMPTY_CONFIGURATION,
@@ -97,7 +97,7 @@
     });
   });
 
-  test("never takes a change twice, even when its id was forgotten", () => {
+  test("never applies a change twice, even if its id is not retained", () => {
     const { head, state } = acceptMany(1);
     const headWithoutIds = { ...head, settled: [] };
     expect(decide(headWithoutIds, state, put("s0"))).toMatchObject({
@@ -105,7 +105,7 @@
     });
   });
 
-  test("refuses a backend server of an unknown service", () => {
+  test("rejects a backend server of an unknown service", () => {
     const decision = decide(
       EMPTY_HEAD,
       EMPTY_CONFIGURATION,
@@ -138,7 +138,7 @@
     expect(decision).toMatchObject({ outcome: { kind: "invalid" } });
   });
 
-  test("moves only forward, in any order and with any repeats", () => {
+  test("only advances, with deltas in any order and repeated", () => {
     const { head, state } = acceptMany(12);
     fc.assert(
       fc.property(
@@ -166,7 +166,7 @@
     );
   });
 
-  test("reads the same state from a snapshot and the deltas behind it", () => {
+  test("reads the same state from a snapshot and the deltas after it", () => {
     const { head, state } = acceptMany(60);
     const early = applyDeltas(EMPTY_CONFIGURATION, head.deltas.slice(0, 40));
     const cut = compacted(head, { revision: 40, parts: 1 });
@@ -178,7 +178,7 @@
     expect(advance(EMPTY_CONFIGURATION, cut).isErr).toBe(true);
   });
 
-  test("cuts parts below a megabyte and joins them again", () => {
+  test("splits a state into parts of less than a megabyte and joins them", () => {
     const largeDeltas: readonly Delta[] = Array.from(
       { length: 60 },
       (_, index) => ({
@@ -203,7 +203,7 @@
     expect(readSnapshot(60, parts)).toEqual(state);
   });
 
-  test("keeps the newest snapshot that a slow reader may be reading", () => {
+  test("keeps the older snapshot that a slow reader may be reading", () => {
     const head = { ...EMPTY_HEAD, snapshot: { revision: 30, parts: 1 } };
     expect(obsoleteSnapshots(head, [10, 20, 30, 40])).toEqual([10]);
     expect(needsCompaction(head)).toBe(false);
--- a/packages/rampswitch-policy/src/admission.ts
+++ b/packages/rampswitch-policy/src/admission.ts
@@ -1,40 +1,41 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Admission: fair queueing of requests between workspaces, weighted by
- * predicted tokens; priorities; bounded queues; early refusal; and work that
- * must finish by a set time.
+ * Admission: fair queueing of requests between workspaces by predicted tokens,
+ * with weights, priorities, bounded queues, early refusal, and background work
+ * that must finish by a deadline.
  *
  * @module
  */
 import { refused, type RefusedNotRun } from "rampswitch-types";
 
-/** A request that asks to be admitted. */
+/** A request for admission. */
 export interface AdmissionRequest {
   readonly id: string;
   readonly workspace: string;
+  /** Weight of the workspace in the fair queue. */
   readonly weight: number;
   readonly priority: number;
-  /** Predicted tokens, of the prompt and of the answer. */
+  /** Predicted number of tokens of the prompt and the answer. */
   readonly tokens: number;
   readonly arrivedAt: number;
-  /** Latest time at which the answer helps. */
+  /** Latest time at which the caller can use the answer. */
   readonly deadline: number;
-  /** Predicted milliseconds of the run itself. */
+  /** Predicted duration of the run, without the wait in the queue. */
   readonly runMilliseconds: number;
-  /** Set for long work that only has to finish by its deadline. */
+  /** Whether this is long work that only has to finish by its deadline. */
   readonly background: boolean;
 }
 
 /** Limits of admission on one host. */
 export interface AdmissionLimits {
-  /** Tokens in progress at once on this host. */
+  /** Maximum number of predicted tokens in progress. */
   readonly tokens: number;
-  /** Requests that wait at most. */
+  /** Maximum number of queued requests. */
   readonly queueRequests: number;
 }
 
-/** What became of a request that asked. */
+/** Decision on a request for admission. */
 export type AdmissionDecision =
   | { readonly kind: "admitted" }
   | { readonly kind: "queued" }
@@ -42,18 +43,20 @@
 
 interface QueuedRequest {
   readonly request: AdmissionRequest;
+  /** Virtual time of weighted fair queueing at which the request finishes. */
   readonly virtualFinish: number;
 }
 
-/** Share of the queue that one workspace may use, relative to its weight. */
+/** Maximum share of the queue for a workspace, as a multiple of its fair share. */
 const QUEUE_SHARE_FACTOR = 2;
 const MAXIMUM_RETRY_AFTER_MILLISECONDS = 30_000;
 const MINIMUM_RETRY_AFTER_MILLISECONDS = 100;
-/** Background work whose slack falls below this share of its run is urgent. */
+/** Background work is urgent if its slack is at most this share of its run. */
 const URGENT_SLACK_SHARE = 1;
+/** Time constant of the exponential average of the token rate. */
 const RATE_DECAY_MILLISECONDS = 5_000;
 
-/** Admission on one host. */
+/** Admission of requests on one host. */
 export class Admission {
   readonly #running = new Map<string, AdmissionRequest>();
   readonly #lastFinish = new Map<string, number>();
@@ -68,17 +71,17 @@
     this.#limits = limits;
   }
 
-  /** Requests in progress and waiting. */
+  /** Number of requests in progress and in the queue. */
   get counts(): { readonly running: number; readonly waiting: number } {
     return { running: this.#running.size, waiting: this.#queue.length };
   }
 
-  /** Changes the limits, as when hosts join or leave. */
+  /** Changes the limits, for example when hosts join or leave. */
   setLimits(limits: AdmissionLimits): void {
     this.#limits = limits;
   }
 
-  /** Decides on a request: run now, wait, or be refused at once. */
+  /** Admits a request, queues it or refuses it. */
   ask(request: AdmissionRequest, now: number): AdmissionDecision {
     const refusal = this.#refusal(request, now);
     if (refusal !== undefined) return { kind: "refused", outcome: refusal };
@@ -93,7 +96,7 @@
     return { kind: "queued" };
   }
 
-  /** Ends a request, running or waiting. */
+  /** Removes a running or queued request. */
   end(id: string, now: number): void {
     const request = this.#running.get(id);
     this.#queue = this.#queue.filter((queued) => queued.request.id !== id);
@@ -103,7 +106,7 @@
     this.#measureRate(request.tokens, now);
   }
 
-  /** Requests whose turn has come, most urgent first. */
+  /** Admits queued requests as the limits allow, the most urgent first. */
   next(now: number): readonly AdmissionRequest[] {
     const started: AdmissionRequest[] = [];
     for (let remaining = this.#queue.length; remaining > 0; remaining -= 1) {
@@ -116,7 +119,7 @@
     return started;
   }
 
-  /** Requests that can no longer be in time; they leave the queue. */
+  /** Removes and returns queued requests that can no longer meet their deadline. */
   expire(now: number): readonly AdmissionRequest[] {
     const late = this.#queue
       .filter(({ request }) => now + request.runMilliseconds > request.deadline)
@@ -129,7 +132,7 @@
     return late;
   }
 
-  /** Predicted wait of a request that would be queued last. */
+  /** Predicted wait of a new request; 0 while the token rate is not known. */
   predictedWaitMilliseconds(): number {
     if (this.#queue.length === 0) return 0;
     const queuedTokens = this.#queue.reduce(
@@ -168,19 +171,23 @@
     if (this.#queue.length >= this.#limits.queueRequests) {
       return refused(
         "queue_full",
-        `${this.#queue.length} requests wait, expected fewer`,
+        `${this.#queue.length} requests are queued, expected fewer`,
         retryAfter,
       );
     }
     return this.#exceedsQueueShare(request)
       ? refused(
           "workspace_share_used",
-          `workspace ${request.workspace} fills its share of the queue`,
+          `workspace ${request.workspace} uses all of its share of the queue`,
           retryAfter,
         )
       : undefined;
   }
 
+  /**
+   * Whether the workspace already uses its share of the queue. The shares apply
+   * only once the queue is half full.
+   */
   #exceedsQueueShare(request: AdmissionRequest): boolean {
     if (this.#queue.length * 2 < this.#limits.queueRequests) return false;
     const weights = new Map(
@@ -199,6 +206,7 @@
     return queuedByWorkspace >= this.#limits.queueRequests * Math.min(1, share);
   }
 
+  /** Whether a request may run now; a single request may exceed the limit. */
   #fits(request: AdmissionRequest): boolean {
     return (
       this.#running.size === 0 ||
@@ -243,7 +251,7 @@
   }
 }
 
-/** Order of the queue: urgency, priority, then fair share. */
+/** Order of the queue: by urgency, then priority, then fair queueing. */
 function precedes(
   left: QueuedRequest,
   right: QueuedRequest,
@@ -258,8 +266,8 @@
 }
 
 /**
- * Background work waits behind all other work while it has slack, and joins
- * the fair queue once its slack is used up.
+ * 1 for background work that can still wait, which comes after all other work;
+ * 0 for all other work and for background work whose slack is used up.
  */
 function urgencyRank(request: AdmissionRequest, now: number): number {
   if (!request.background) return 0;
@@ -268,10 +276,10 @@
 }
 
 /**
- * Each host's part of a fleet-wide limit, without a call to anybody. The sum
- * over all hosts misses the limit only while their views of the membership
- * differ: by at most the limit times the hosts missing from a view, divided by
- * the hosts in it.
+ * One host's share of a fleet-wide limit, computed without calls to other
+ * hosts. The sum of all shares differs from the limit only while the hosts'
+ * views of the membership differ: by at most the limit times the number of
+ * hosts missing from a view, divided by the number of hosts in it.
  */
 export function hostShare(limit: number, hosts: number): number {
   return Math.max(1, Math.ceil(limit / Math.max(1, hosts)));
--- a/packages/rampswitch-policy/src/affinity_ring.ts
+++ b/packages/rampswitch-policy/src/affinity_ring.ts
@@ -1,23 +1,25 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * A consistent-hash ring of backend servers: every entry host finds the same
- * server for a conversation without a word to the others, and a server that
- * joins or leaves moves only its share of conversations.
+ * A consistent-hash ring of backend servers: all entry hosts find the same
+ * server for a conversation without communication between them, and a server
+ * that joins or leaves changes the server of only its share of conversations.
  *
  * @module
  */
 import { hash32 } from "rampswitch-utils";
 import type { Candidate } from "./routing_table.ts";
 
+/** Points of each server on the ring; more points distribute keys more evenly. */
 const POINTS_PER_SERVER = 16;
 
 interface RingPoint {
+  /** Position on the ring: a 32-bit hash. */
   readonly at: number;
   readonly candidate: Candidate;
 }
 
-/** A ring over some candidates. */
+/** A consistent-hash ring of candidates. */
 export class AffinityRing {
   readonly #points: readonly RingPoint[];
 
@@ -32,7 +34,10 @@
       .toSorted((left, right) => left.at - right.at);
   }
 
-  /** The first candidate behind a key's place that is eligible. */
+  /**
+   * The first eligible candidate at or after a key's position; `undefined` if
+   * none of the first {@link MAXIMUM_CANDIDATES_TRIED} is eligible.
+   */
   find(
     key: string,
     eligible: (candidate: Candidate) => boolean,
@@ -50,7 +55,7 @@
     return undefined;
   }
 
-  /** Index of the first point at or behind a place. */
+  /** Index of the first point at or after a position. */
   #firstPointFrom(position: number): number {
     let low = 0;
     let high = this.#points.length;
@@ -63,5 +68,5 @@
   }
 }
 
-/** Candidates looked at before a key is left without a home. */
+/** Candidates checked for a key before the search ends without a result. */
 const MAXIMUM_CANDIDATES_TRIED = 64;
--- a/packages/rampswitch-policy/src/capacity_plan.ts
+++ b/packages/rampswitch-policy/src/capacity_plan.ts
@@ -1,57 +1,63 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Capacity of a service in all data halls: which hosts to start and to end so
- * that the latency target holds at the lowest cost, also after the loss of a
- * data hall.
+ * Plans the capacity of a service in all data halls: which hosts to start and
+ * to end so that the service meets its latency target at the lowest cost, also
+ * after the loss of a data hall.
  *
  * @module
  */
 
-/** A host that serves, as the plan sees it. */
+/** A host of the service, as input of the plan. */
 export interface PlannedHost {
   readonly name: string;
   readonly hostClass: string;
   readonly dataHall: string;
   readonly state: "starting" | "serving" | "leaving";
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly load: number;
-  /** Whether the plan may end it. */
+  /** Whether the plan may end the host; `false` for hosts that operators run. */
   readonly managed: boolean;
 }
 
-/** A class that hosts can be started in. */
+/** A host class in which hosts can be started. */
 export interface PlannedClass {
   readonly name: string;
   readonly dataHall: string;
   readonly dollarsPerHour: number;
   readonly reclaimable: boolean;
-  /** Tokens a second of one host within the latency target. */
+  /** Tokens a second that one host generates within the latency target. */
   readonly tokensPerSecond: number;
-  /** Until when starts are thought to be refused; 0 for not at all. */
+  /**
+   * Time until which the cloud is expected to refuse starts, in milliseconds
+   * since the epoch; 0 if it does not.
+   */
   readonly refusedUntil: number;
 }
 
-/** What the plan knows. */
+/** Inputs of one round of planning. */
 export interface CapacityInputs {
   readonly now: number;
-  /** Tokens a second asked for; absent where it is not known. */
+  /** Demand in tokens a second; `undefined` if unknown. */
   readonly demand: number | undefined;
   readonly hosts: readonly PlannedHost[];
   readonly classes: readonly PlannedClass[];
-  /** Downloads of weights that may start now. */
+  /** Number of downloads of model weights that may start now. */
   readonly downloadsFree: number;
 }
 
-/** What the plan remembers between rounds. */
+/** State of the planner between rounds. */
 export interface CapacityMemory {
-  /** Rounds in a row in which a host could have been spared. */
+  /** Consecutive rounds in which there was a spare host. */
   readonly spareRounds: number;
-  /** When hosts last left; nothing ends soon after. */
+  /**
+   * When a host was last leaving, in milliseconds since the epoch. No host is
+   * ended soon after.
+   */
   readonly lastLossAt: number;
 }
 
-/** One step of a plan. */
+/** A start or an end of one host. */
 export type CapacityAction =
   | {
       readonly kind: "start";
@@ -60,27 +66,30 @@
     }
   | { readonly kind: "end"; readonly host: string };
 
-/** A plan for one round. */
+/** Result of one round of planning. */
 export interface CapacityPlan {
   readonly actions: readonly CapacityAction[];
   readonly memory: CapacityMemory;
-  /** Tokens a second that are missing even after the actions. */
+  /** Tokens a second that are still missing after the actions. */
   readonly missing: number;
 }
 
-/** Memory before the first round. */
+/** State of the planner before the first round. */
 export const NO_CAPACITY_MEMORY: CapacityMemory = {
   spareRounds: 0,
   lastLossAt: Number.NEGATIVE_INFINITY,
 };
 
+/** Share of the capacity that the demand should use. */
 const TARGET_UTILIZATION = 0.7;
-/** Share of the demand that must survive the loss of any data hall. */
+/** Share of the demand that must still be served after the loss of a data hall. */
 const HALL_LOSS_DEMAND_SHARE = 0.8;
+/** Consecutive rounds with a spare host after which it is ended. */
 const SPARE_ROUNDS_BEFORE_END = 5;
+/** Time after the last loss of a host in which no host is ended. */
 const SCALE_IN_PAUSE_MILLISECONDS = 120_000;
 
-/** Plans one round. */
+/** Plans the starts and ends of one round. */
 export function planCapacity(
   inputs: CapacityInputs,
   previous: CapacityMemory,
@@ -131,11 +140,17 @@
   const classes = startableClasses(inputs);
   const maximumStarts = inputs.downloadsFree;
   while (actions.length < maximumStarts) {
-    const lack = findShortfall(hosts, inputs.classes, requiredTokensPerSecond);
+    const shortfall = findShortfall(
+      hosts,
+      inputs.classes,
+      requiredTokensPerSecond,
+    );
     const next =
-      lack === undefined
+      shortfall === undefined
         ? undefined
-        : classes.find(({ dataHall }) => dataHall !== lack.excludedDataHall);
+        : classes.find(
+            ({ dataHall }) => dataHall !== shortfall.excludedDataHall,
+          );
     if (next === undefined) break;
     actions.push({
       kind: "start",
@@ -154,11 +169,15 @@
       },
     ];
   }
-  const lack = findShortfall(hosts, inputs.classes, requiredTokensPerSecond);
-  return { actions, missing: lack?.tokensPerSecond ?? 0 };
+  const shortfall = findShortfall(
+    hosts,
+    inputs.classes,
+    requiredTokensPerSecond,
+  );
+  return { actions, missing: shortfall?.tokensPerSecond ?? 0 };
 }
 
-/** Classes by price for the work done; refused ones are left out. */
+/** Classes that can be started now, in order of their price for a token. */
 function startableClasses(inputs: CapacityInputs): readonly PlannedClass[] {
   return inputs.classes
     .filter(({ refusedUntil }) => refusedUntil <= inputs.now)
@@ -171,7 +190,10 @@
 
 interface Shortfall {
   readonly tokensPerSecond: number;
-  /** Data hall whose loss cannot be borne; starts must go elsewhere. */
+  /**
+   * Data hall whose loss would leave too little capacity; hosts must be started
+   * in another one.
+   */
   readonly excludedDataHall: string | undefined;
 }
 
@@ -191,17 +213,22 @@
   const worstLoss = halls
     .map((hall) => ({
       hall,
-      left: totalTokensPerSecond(
+      remainingTokensPerSecond: totalTokensPerSecond(
         hosts.filter(({ dataHall }) => dataHall !== hall),
         classes,
       ),
     }))
-    .toSorted((left, right) => left.left - right.left)[0];
+    .toSorted(
+      (left, right) =>
+        left.remainingTokensPerSecond - right.remainingTokensPerSecond,
+    )[0];
   const minimumTokensPerSecond =
     requiredTokensPerSecond * TARGET_UTILIZATION * HALL_LOSS_DEMAND_SHARE;
-  return worstLoss !== undefined && worstLoss.left < minimumTokensPerSecond
+  return worstLoss !== undefined &&
+    worstLoss.remainingTokensPerSecond < minimumTokensPerSecond
     ? {
-        tokensPerSecond: minimumTokensPerSecond - worstLoss.left,
+        tokensPerSecond:
+          minimumTokensPerSecond - worstLoss.remainingTokensPerSecond,
         excludedDataHall: worstLoss.hall,
       }
     : undefined;
--- a/packages/rampswitch-policy/src/choice.ts
+++ b/packages/rampswitch-policy/src/choice.ts
@@ -1,10 +1,11 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Choice of a backend server: among those allowed and predicted to meet the
- * target, the one of least cost. Its time does not grow with their number: of
- * a large group it looks at the servers that hold the prompt's prefix, a
- * sample of the cheapest, and a sample of all.
+ * Choice of a backend server: the one of lowest cost among those that are
+ * allowed and predicted to meet the latency target. The time of a choice does
+ * not grow with the number of servers: in a large group it scores only the
+ * servers that have the prompt's prefix in their cache, a sample of the
+ * cheapest servers and a sample of all servers.
  *
  * @module
  */
@@ -15,85 +16,101 @@
 import type { PrefixIndex } from "./prefix_index.ts";
 import type { EstimatedLoad } from "./server_load.ts";
 
-/** Speeds of a service's backend servers, learned or assumed. */
+/** Speeds of a service's backend servers, measured or assumed. */
 export interface ServiceSpeeds {
-  /** Milliseconds to compute a prompt token. */
+  /** Milliseconds to compute one prompt token. */
   readonly promptTokenMilliseconds: number;
   /** Milliseconds between generated tokens. */
   readonly tokenMilliseconds: number;
 }
 
-/** A request as the choice sees it. */
+/** The properties of a request that a choice needs. */
 export interface ChoiceRequest {
+  /** Identifiers of the prompt's prefix blocks, from its start. */
   readonly blocks: readonly string[];
   /**
-   * Names the conversation, the same in each of its turns; absent for work
-   * that is not part of one.
+   * Identifier of the conversation, the same for all its requests; `undefined`
+   * if the request does not belong to a conversation.
    */
   readonly conversation?: string | undefined;
-  /** Tokens of the prompt that earlier turns of the conversation had. */
+  /** Prompt tokens that earlier requests of the conversation already had. */
   readonly earlierTokens?: number | undefined;
   readonly promptTokens: number;
+  /** Expected number of tokens of the answer. */
   readonly expectedTokens: number;
+  /** Target of the time to the first token. */
   readonly targetMilliseconds: number;
   readonly weights: ChoiceWeights;
-  /** Servers that an earlier attempt failed on. */
+  /** Names of servers on which an earlier attempt failed. */
   readonly avoid: ReadonlySet<string>;
 }
 
-/** What the choice asks its surroundings. */
+/** State and dependencies of a choice. */
 export interface ChoiceContext {
   readonly now: number;
   readonly random: Random;
   readonly prefixes: PrefixIndex;
+  /** Prompt tokens in one prefix block. */
   readonly blockTokens: number;
   readonly speeds: ServiceSpeeds;
+  /** Estimated load of a server. */
   load(server: string): EstimatedLoad;
-  /** Why a server takes no new work; `undefined` where it does. */
+  /** Reason why a server gets no new requests; `undefined` if it does. */
   excluded(candidate: Candidate): string | undefined;
-  /** Share of its load that a server should get, at most 1. */
+  /** Share of its normal load that a server should get, at most 1. */
   share(server: string): number;
 }
 
-/** Why a candidate scored as it did. */
+/** Score of a candidate and the values that it was computed from. */
 export interface Score {
   readonly server: string;
   readonly priority: number;
+  /** Predicted time to the first token. */
   readonly predictedMilliseconds: number;
+  /** Prompt tokens that the server is expected to have in its prefix cache. */
   readonly cachedTokens: number;
   readonly meetsTarget: boolean;
-  /** US dollars of host time and of tokens computed again, weighted. */
+  /** Weighted cost of host time and of recomputed tokens, in US dollars. */
   readonly cost: number;
 }
 
-/** A candidate that was left out, and why. */
+/** A candidate that was excluded, with the reason. */
 export interface Exclusion {
   readonly server: string;
   readonly reason: string;
 }
 
-/** The outcome of a choice. */
+/** Result of a choice. */
 export interface Choice {
+  /** Score of the chosen server; `undefined` if all were excluded. */
   readonly chosen: Score | undefined;
   readonly scores: readonly Score[];
   readonly exclusions: readonly Exclusion[];
 }
 
+/** Number of servers up to which all servers of a group are scored. */
 const MAXIMUM_FULLY_SCORED_GROUP = 24;
+/** Servers sampled from a larger group: half of the cheapest, half of all. */
 const SAMPLE_SIZE = 12;
+/** Servers scored because they have a prefix of the prompt in their cache. */
 const MAXIMUM_PREFIX_CANDIDATES = 6;
 const MILLISECONDS_PER_HOUR = 3_600_000;
-/** A queue is worth this share of the price of host time while it waits. */
+/** Cost of time in a queue, as a share of the price of host time. */
 const QUEUE_TIME_WEIGHT = 0.25;
+/** Costs up to this multiple of the lowest cost count as equal. */
 const EQUAL_COST_FACTOR = 1.02;
 
-/** Chooses a backend server along a route. */
+/**
+ * Chooses a backend server of a route: the cheapest one that meets the target,
+ * from the first group that has one. If no server meets the target, it chooses
+ * the one with the shortest predicted time.
+ */
 export function choose(
   route: Route,
   request: ChoiceRequest,
   context: ChoiceContext,
 ): Choice {
-  const cached = new Map(
+  const cachedTokensByServer = new Map(
     context.prefixes
       .matches(request.blocks)
       .slice(0, MAXIMUM_PREFIX_CANDIDATES)
@@ -103,10 +120,14 @@
   const exclusions: Exclusion[] = [];
   for (const group of route.groups) {
     const preferred = preferredCandidate(group.candidates, request, context);
-    const considered = candidatesToScore(group.candidates, cached, {
-      preferred: preferred,
-      context,
-    });
+    const considered = candidatesToScore(
+      group.candidates,
+      cachedTokensByServer,
+      {
+        preferred,
+        context,
+      },
+    );
     const scored = considered.flatMap((candidate) => {
       const reason = request.avoid.has(candidate.server.name)
         ? "an earlier attempt failed on it"
@@ -114,10 +135,10 @@
       if (reason === undefined) {
         return [
           score(candidate, request, {
-            cached,
+            cachedTokensByServer,
             context,
             group,
-            preferred: preferred,
+            preferred,
           }),
         ];
       }
@@ -137,32 +158,34 @@
   return { chosen: fastest, scores, exclusions };
 }
 
+/** All candidates of a small group; a selection of a large one. */
 function candidatesToScore(
   candidates: readonly Candidate[],
-  cached: ReadonlyMap<string, number>,
+  cachedTokensByServer: ReadonlyMap<string, number>,
   options: {
     readonly preferred: Candidate | undefined;
     readonly context: ChoiceContext;
   },
 ): readonly Candidate[] {
   if (candidates.length <= MAXIMUM_FULLY_SCORED_GROUP) return candidates;
-  const { preferred: home, context } = options;
+  const { preferred, context } = options;
   const index = groupIndexOf(candidates);
-  const prefixHolders = [...cached.keys()].flatMap(
+  const prefixHolders = [...cachedTokensByServer.keys()].flatMap(
     (server) => index.byName.get(server) ?? [],
   );
   const draws = Array.from({ length: SAMPLE_SIZE }, (_, draw) => {
     const pool = draw % 2 === 0 ? index.cheapest : candidates;
     return pool[context.random.below(pool.length)];
   });
-  return [...new Set([...prefixHolders, home, ...draws])].filter(
+  return [...new Set([...prefixHolders, preferred, ...draws])].filter(
     (candidate) => candidate !== undefined,
   );
 }
 
 /**
- * The server where a conversation belongs: among the cheapest, so that its
- * turns find their prefix at a low price, whichever host they come through.
+ * The preferred server of a conversation, one of the cheapest. All entry hosts
+ * find the same one, so that the requests of a conversation find their prefix
+ * in its cache at a low price.
  */
 function preferredCandidate(
   candidates: readonly Candidate[],
@@ -181,9 +204,10 @@
   );
 }
 
+/** Values derived from a group of candidates, cached for each group. */
 interface GroupIndex {
   readonly byName: ReadonlyMap<string, Candidate>;
-  /** Candidates that share the lowest price. */
+  /** Candidates with the lowest price. */
   readonly cheapest: readonly Candidate[];
   readonly ring: AffinityRing;
 }
@@ -210,7 +234,7 @@
   return index;
 }
 
-/** Whether a server is among candidates. */
+/** Whether a group of candidates has a server with this name. */
 export function serverIn(
   candidates: readonly Candidate[],
   server: string,
@@ -222,19 +246,19 @@
   candidate: Candidate,
   request: ChoiceRequest,
   options: {
-    readonly cached: ReadonlyMap<string, number>;
+    readonly cachedTokensByServer: ReadonlyMap<string, number>;
     readonly context: ChoiceContext;
     readonly group: { readonly priority: number };
     readonly preferred: Candidate | undefined;
   },
 ): Score {
-  const { context, cached } = options;
+  const { context, cachedTokensByServer } = options;
   const { name, concurrency } = candidate.server;
   const expectedCachedTokens =
     candidate === options.preferred ? (request.earlierTokens ?? 0) : 0;
   const cachedTokens = Math.min(
     request.promptTokens,
-    Math.max(expectedCachedTokens, cached.get(name) ?? 0),
+    Math.max(expectedCachedTokens, cachedTokensByServer.get(name) ?? 0),
   );
   const uncachedPromptTokens = request.promptTokens - cachedTokens;
   const load = context.load(name);
@@ -257,7 +281,7 @@
     cachedTokens,
     meetsTarget: predictedMilliseconds <= request.targetMilliseconds,
     cost: costOf(candidate, request, {
-      uncachedPromptTokens: uncachedPromptTokens,
+      uncachedPromptTokens,
       runMilliseconds,
       waitMilliseconds,
       promptTokenMilliseconds,
@@ -275,11 +299,7 @@
     readonly promptTokenMilliseconds: number;
   },
 ): number {
-  const {
-    runMilliseconds,
-    waitMilliseconds,
-    uncachedPromptTokens: uncached,
-  } = durations;
+  const { runMilliseconds, waitMilliseconds, uncachedPromptTokens } = durations;
   const pricePerMillisecond = candidate.dollarsPerHour / MILLISECONDS_PER_HOUR;
   const hostTimeCost =
     pricePerMillisecond *
@@ -290,20 +310,24 @@
   const recomputationCost =
     pricePerMillisecond *
     durations.promptTokenMilliseconds *
-    (uncached + expectedTokensLost);
+    (uncachedPromptTokens + expectedTokensLost);
   return (
     request.weights.cost * hostTimeCost +
     request.weights.recomputedTokens * recomputationCost
   );
 }
 
+/** A random score of those with the lowest cost; the preferred server wins. */
 function lowestCost(
   scores: readonly Score[],
   options: { readonly random: Random; readonly preferred: string | undefined },
 ): Score | undefined {
   const lowest = Math.min(...scores.map(({ cost }) => cost));
   const equal = scores.filter(({ cost }) => cost <= lowest * EQUAL_COST_FACTOR);
-  const home = equal.find(({ server }) => server === options.preferred);
-  if (home !== undefined || equal.length <= 1) return home ?? equal[0];
+  const preferredScore = equal.find(
+    ({ server }) => server === options.preferred,
+  );
+  if (preferredScore !== undefined || equal.length <= 1)
+    return preferredScore ?? equal[0];
   return equal[options.random.below(equal.length)];
 }
--- a/packages/rampswitch-policy/src/migration_plan.ts
+++ b/packages/rampswitch-policy/src/migration_plan.ts
@@ -1,36 +1,38 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What to do with running work when its backend server's host is reclaimed.
+ * Decides what happens to a run when its backend server's host is reclaimed.
  *
  * @module
  */
 
-/** A running answer on a host that is leaving. */
+/** A run on a host that is leaving. */
 export interface RunOnLeavingHost {
-  /** Milliseconds until the host is taken; absent where nobody said. */
+  /** Milliseconds until the host is reclaimed; `undefined` if unknown. */
   readonly remainingMilliseconds: number | undefined;
-  /** Tokens that may still come. */
+  /** Maximum number of tokens that are still to be generated. */
   readonly remainingTokens: number;
+  /** Milliseconds between generated tokens. */
   readonly tokenMilliseconds: number;
-  /** Whether the work may run twice. */
+  /** Whether the request may run twice. */
   readonly repeatable: boolean;
-  /** Whether both servers can move KV cache. */
+  /** Whether both servers can migrate the KV cache. */
   readonly movesCache: boolean;
 }
 
 /**
- * `finish`: leave it, it ends in time or must not run twice. `move_cache`:
- * move it with its KV cache. `resume`: go on elsewhere from what was delivered.
+ * `finish`: the run stays, because it ends in time or must not run twice.
+ * `move_cache`: the run migrates together with its KV cache. `resume`: the
+ * request continues on another server from the tokens already delivered.
  */
 export type MigrationPlan = "finish" | "move_cache" | "resume";
 
-/** Time kept free before the host is taken, in milliseconds. */
+/** Time reserved before the host is reclaimed, in milliseconds. */
 const RECLAIM_MARGIN_MILLISECONDS = 500;
-/** Longest time that a move of KV cache is given, in milliseconds. */
+/** Maximum duration of a KV-cache migration, in milliseconds. */
 export const CACHE_MOVE_MILLISECONDS = 2_000;
 
-/** Plans for one running answer. */
+/** Plans what happens to one run. */
 export function planMove(run: RunOnLeavingHost): MigrationPlan {
   if (!run.repeatable) return "finish";
   const remaining = run.remainingMilliseconds ?? Number.POSITIVE_INFINITY;
--- a/packages/rampswitch-policy/src/mod.ts
+++ b/packages/rampswitch-policy/src/mod.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Pure decisions under load.
+ * Decisions without I/O: routing, choice of backend server,
+ * admission, retries, health and capacity.
  *
  * @module
  */
--- a/packages/rampswitch-policy/src/policy_test.ts
+++ b/packages/rampswitch-policy/src/policy_test.ts
@@ -34,7 +34,7 @@
   };
 }
 
-/** Runs all that is queued, one after the other, and returns the order. */
+/** Runs all queued requests one after the other and returns their order. */
 function drain(admission: Admission, first: string): readonly string[] {
   const order: string[] = [];
   let running: readonly string[] = [first];
@@ -47,7 +47,7 @@
 }
 
 describe("admission", () => {
-  test("gives a small workspace its share beside a large one", () => {
+  test("gives a small workspace its share next to a large one", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 100 });
     admission.ask(request("first"), 0);
     Array.from({ length: 20 }, (_, index) =>
@@ -61,7 +61,7 @@
     expect(small.length).toBeGreaterThanOrEqual(4);
   });
 
-  test("refuses at once what cannot be in time, and says when to return", () => {
+  test("refuses a request at once that cannot meet its deadline", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 100 });
     admission.ask(request("a"), 0);
     admission.end("a", 1);
@@ -78,7 +78,7 @@
     });
   });
 
-  test("holds background work behind chat until its slack is used up", () => {
+  test("queues background work after chat until its slack is used up", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 100 });
     admission.ask(request("first"), 0);
     const background = { background: true, runMilliseconds: 1_000 };
@@ -91,7 +91,7 @@
     expect(admission.next(7_500).map(({ id }) => id)).toEqual(["settlement"]);
   });
 
-  test("bounds its queue", () => {
+  test("limits the length of its queue", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 2 });
     const kinds = ["a", "b", "c", "d"].map(
       (id) => admission.ask(request(id), 0).kind,
@@ -103,7 +103,7 @@
 describe("retries", () => {
   const random = seededRandom(1);
 
-  test("never repeat work once only that may have run", () => {
+  test("never repeat a request that may have run and must not run twice", () => {
     const decision = decideRetry(
       {
         outcome: inDoubt("backend_lost", ""),
@@ -118,7 +118,7 @@
     expect(decision.kind).toBe("give_up");
   });
 
-  test("go on with answers in progress although the budget is empty", () => {
+  test("continue answers in progress although the budget is empty", () => {
     const budget = new RetryBudget();
     while (budget.spend());
     const attempt = {
@@ -136,7 +136,7 @@
     );
   });
 
-  test("stay within a tenth when a whole service fails", () => {
+  test("add about a tenth to the load when a whole service fails", () => {
     const budget = new RetryBudget();
     let sends = 0;
     Array.from({ length: 2_000 }, () => {
@@ -166,7 +166,7 @@
     Array.from({ length: times }, () => health.handle({ type: "failed", now }));
   }
 
-  test("ejects, probes half open, starts slowly and recovers", () => {
+  test("ejects, probes, starts slowly and recovers", () => {
     const health = new ServerHealth();
     fail(health, 0);
     expect(health.admits(1_000)).toBe(false);
@@ -189,12 +189,12 @@
     expect(health.admits(6_000)).toBe(true);
   });
 
-  test("keeps at least half of a group", () => {
+  test("lets at most half of a group be ejected", () => {
     expect(mayEject(3, 6)).toBe(true);
     expect(mayEject(4, 6)).toBe(false);
   });
 
-  test("does not let fast errors look like spare capacity", () => {
+  test("counts fast errors as load, not as free capacity", () => {
     const load = new ServerLoad();
     Array.from({ length: 10 }, () => {
       load.sent(1, 10);
@@ -206,7 +206,7 @@
 });
 
 describe("load", () => {
-  test("counts what all hosts are likely to have sent since a report", () => {
+  test("includes the requests that other hosts probably sent since a report", () => {
     const load = new ServerLoad();
     load.report({ running: 1, waiting: 0, promptTokensWaiting: 0, at: 100 });
     load.sent(5, 90);
@@ -217,7 +217,7 @@
 });
 
 describe("the prefix index", () => {
-  test("finds the longest held prefix and forgets what was evicted", () => {
+  test("finds the longest cached prefix and removes evicted blocks", () => {
     const index = new PrefixIndex(100);
     index.stored("a", ["1", "2", "3"]);
     index.stored("b", ["1"]);
@@ -233,7 +233,7 @@
     expect(index.matches(["1"]).map(({ server }) => server)).toEqual(["b"]);
   });
 
-  test("stays within its size", () => {
+  test("stays within its capacity", () => {
     const index = new PrefixIndex(10);
     index.stored(
       "a",
@@ -243,7 +243,7 @@
   });
 });
 
-describe("a move", () => {
+describe("a run on a host that is reclaimed", () => {
   const work = {
     remainingMilliseconds: 3_000,
     remainingTokens: 1_000,
@@ -253,11 +253,15 @@
   };
 
   test.each([
-    ["with its cache where time allows", {}, "move_cache"],
-    ["without it where not", { remainingMilliseconds: 1_000 }, "resume"],
-    ["not at all if it ends in time", { remainingTokens: 10 }, "finish"],
-    ["not at all if it must not run twice", { repeatable: false }, "finish"],
-  ] as const)("goes %s", (_name, change, plan) => {
+    ["migrates with its cache if time allows", {}, "move_cache"],
+    [
+      "resumes without its cache if not",
+      { remainingMilliseconds: 1_000 },
+      "resume",
+    ],
+    ["stays if it ends in time", { remainingTokens: 10 }, "finish"],
+    ["stays if it must not run twice", { repeatable: false }, "finish"],
+  ] as const)("%s", (_name, change, plan) => {
     expect(planMove({ ...work, ...change })).toBe(plan);
   });
 });
@@ -319,7 +323,7 @@
 }
 
 describe("capacity", () => {
-  test("starts the cheapest hosts, and not all in one data hall", () => {
+  test("starts the cheapest hosts, in more than one data hall", () => {
     const { actions, missing } = plan(140, []);
     const halls = new Set(
       actions.map((action) => (action.kind === "start" ? action.dataHall : "")),
@@ -329,7 +333,7 @@
     expect(JSON.stringify(actions)).not.toContain("on-demand");
   });
 
-  test("goes to another class where starts are refused", () => {
+  test("uses another host class if starts are refused", () => {
     const classes = HOST_CLASSES.map((planned) =>
       planned.reclaimable ? { ...planned, refusedUntil: 2_000_000 } : planned,
     );
@@ -337,11 +341,11 @@
     expect(JSON.stringify(actions)).toContain("on-demand");
   });
 
-  test("keeps what serves where demand is not known", () => {
+  test("keeps all hosts if the demand is not known", () => {
     expect(plan(undefined, hosts(["a", "b"])).actions).toEqual([]);
   });
 
-  test("ends a spare host only after several rounds", () => {
+  test("ends a spare host only in the fifth round that has one", () => {
     const planned = hosts(["a", "a", "b", "b", "c", "c"]);
     let memory = NO_CAPACITY_MEMORY;
     const ends = Array.from({ length: 5 }, () => {
@@ -352,7 +356,7 @@
     expect(ends).toEqual([0, 0, 0, 0, 1]);
   });
 
-  test("never ends a host that operators configured", () => {
+  test("never ends a host that it does not manage", () => {
     const planned = hosts(["a", "a", "b", "b", "c", "c"]).map((host) => ({
       ...host,
       managed: false,
@@ -361,7 +365,7 @@
     expect(plan(70, planned, { memory }).actions).toEqual([]);
   });
 
-  test("does not end hosts during or soon after a wave of reclaims", () => {
+  test("does not end hosts during or soon after several reclaims", () => {
     const wave = [
       ...hosts(["a", "a", "b", "b", "c", "c"]),
       ...hosts(["a"], "leaving"),
--- a/packages/rampswitch-policy/src/prefix_index.ts
+++ b/packages/rampswitch-policy/src/prefix_index.ts
@@ -1,36 +1,39 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which backend servers hold which prompt prefixes, as far as own dispatches
- * and late, gappy cache events tell.
+ * An estimate of which backend servers have which prompt prefixes in their
+ * cache. It is based on the requests that this host sent and on cache events of
+ * the servers, which arrive late and can be incomplete.
  *
  * @module
  */
 
-/** How much of a prompt a backend server is thought to hold. */
+/** Estimate of how much of a prompt a backend server has in its cache. */
 export interface PrefixMatch {
   readonly server: string;
-  /** Blocks from the start of the prompt. */
+  /** Number of cached blocks, counted from the start of the prompt. */
   readonly blocks: number;
 }
 
+/** Servers stored for each block; the most recent ones are kept. */
 const MAXIMUM_SERVERS_PER_BLOCK = 4;
 
-/** An index bounded in blocks; the least recently used go first. */
+/** A bounded index of prefixes; the least recently stored blocks are evicted. */
 export class PrefixIndex {
   readonly #servers = new Map<string, readonly string[]>();
   readonly #capacity: number;
 
+  /** Creates an empty index with a capacity in blocks. */
   constructor(capacity: number) {
     this.#capacity = capacity;
   }
 
-  /** Number of blocks remembered. */
+  /** Number of blocks in the index. */
   get size(): number {
     return this.#servers.size;
   }
 
-  /** Notes that a server computes or has stored these blocks. */
+  /** Records that a server computes or has stored these blocks. */
   stored(server: string, blocks: readonly string[]): void {
     blocks.forEach((block) => {
       const holders = this.#servers.get(block) ?? [];
@@ -52,7 +55,7 @@
     }
   }
 
-  /** Notes that a server dropped a block. */
+  /** Records that a server evicted a block. */
   evicted(server: string, block: string): void {
     const holders = this.#servers.get(block);
     if (holders === undefined) return;
@@ -61,14 +64,14 @@
     else this.#servers.set(block, others);
   }
 
-  /** Forgets everything about a server, as after its restart. */
+  /** Removes a server from the index, for example after its restart. */
   forget(server: string): void {
     [...this.#servers]
       .filter(([, servers]) => servers.includes(server))
       .forEach(([block]) => this.evicted(server, block));
   }
 
-  /** Servers that hold the most of a prompt, best first. */
+  /** Servers that have a prefix of a prompt, the longest prefix first. */
   matches(blocks: readonly string[]): readonly PrefixMatch[] {
     const heldBlocks = new Map<string, number>();
     const firstMissing = blocks.findIndex((block, index) => {
--- a/packages/rampswitch-policy/src/retry.ts
+++ b/packages/rampswitch-policy/src/retry.ts
@@ -1,25 +1,28 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Retries: what may be sent again, how often, and after which wait.
+ * Retries: which requests may be sent again, how often, and after which wait.
  *
  * @module
  */
 import type { Outcome, RetryReason } from "rampswitch-types";
 import type { Random } from "rampswitch-utils";
 
-/** Limits of retries. */
+/** Limits on retries. */
 export interface RetryLimits {
-  /** Retries earned by each first attempt. */
+  /** Retries that each first attempt adds to the budget. */
   readonly retriesPerRequest: number;
-  /** Retries that can be saved up. */
+  /** Maximum number of retries in the budget. */
   readonly maximumSavedRetries: number;
+  /** Maximum number of consecutive attempts without progress. */
   readonly attempts: number;
+  /** Upper limit of the wait after the first attempt; it doubles each time. */
   readonly initialWaitMilliseconds: number;
+  /** Upper limit of the wait after any attempt. */
   readonly longestWaitMilliseconds: number;
 }
 
-/** Limits in force where nothing else is said. */
+/** Default limits. */
 export const RETRY_LIMITS: RetryLimits = {
   retriesPerRequest: 0.1,
   maximumSavedRetries: 20,
@@ -28,7 +31,10 @@
   longestWaitMilliseconds: 500,
 };
 
-/** Retries that a service may still spend; it bounds the amplification. */
+/**
+ * Number of retries that a service may still send. It bounds the additional
+ * load that retries cause when a whole service fails.
+ */
 export class RetryBudget {
   readonly #limits: RetryLimits;
   #savedRetries: number;
@@ -38,7 +44,7 @@
     this.#savedRetries = limits.maximumSavedRetries;
   }
 
-  /** Earns for a first attempt. */
+  /** Adds the share of a retry that a first attempt earns. */
   earn(): void {
     this.#savedRetries = Math.min(
       this.#limits.maximumSavedRetries,
@@ -46,7 +52,7 @@
     );
   }
 
-  /** Spends one retry, if there is one. */
+  /** Takes one retry from the budget; returns whether there was one. */
   spend(): boolean {
     if (this.#savedRetries < 1) return false;
     this.#savedRetries -= 1;
@@ -54,18 +60,19 @@
   }
 }
 
-/** An attempt that did not succeed. */
+/** A failed attempt of a request. */
 export interface FailedAttempt {
   readonly outcome: Exclude<Outcome, { readonly kind: "completed" }>;
-  /** Whether an attempt before this one, here or elsewhere, may have run. */
+  /** Whether an earlier attempt, on this host or another, may have run. */
   readonly mayHaveRunBefore: boolean;
-  /** Whether the work may run twice. */
+  /** Whether the request may run twice. */
   readonly repeatable: boolean;
-  /** Attempts in a row that brought nothing of the answer. */
+  /** Consecutive attempts that delivered nothing of the answer. */
   readonly attempts: number;
   /**
-   * Whether the attempt brought a part of the answer. To go on with it is no
-   * added load: the server that carried it is lost.
+   * Whether the attempt delivered a part of the answer. Continuing that answer
+   * adds no load, because the server that ran the attempt is lost; it needs no
+   * retry from the budget.
    */
   readonly madeProgress?: boolean;
   /** Milliseconds until the caller's deadline. */
@@ -83,9 +90,10 @@
   | { readonly kind: "give_up"; readonly budgetEmpty: boolean };
 
 /**
- * Decides on a failed attempt. Work that is not repeatable may be sent again
- * only if none of its attempts can have run: a server that rejects the last one
- * knows nothing of those before.
+ * Decides whether to send a request again after a failed attempt. A request
+ * that is not repeatable may be sent again only if none of its attempts can
+ * have run: a server that rejects the last attempt has no information about
+ * the earlier ones.
  */
 export function decideRetry(
   attempt: FailedAttempt,
--- a/packages/rampswitch-policy/src/retry_test.ts
+++ b/packages/rampswitch-policy/src/retry_test.ts
@@ -5,12 +5,13 @@
 import { seededRandom } from "rampswitch-utils";
 import { decideRetry, RetryBudget, type RetryDecision } from "./retry.ts";
 
-// A request is also sent again without a decision on its failed attempt: when
-// it is moved, or goes on at another host. If a server then rejects the further
-// attempt, its outcome says "not run", although the attempt before may have run.
-// A decision from the last outcome alone lets a request that must not run twice
-// begin again beside the run that it forgets. Elsewhere only the plan of a move
-// stands between the two, so the decision has to be safe by itself.
+// Guards against a second run of a request that must not run twice. A request
+// is also sent again without a retry decision: when it migrates, or continues on
+// another host. If a server then rejects the later attempt, the last outcome is
+// "not run", although an earlier attempt may have run. A decision based on the
+// last outcome alone would start the request again beside the earlier run. Apart
+// from the retry decision, only the migration plan prevents this, so the
+// decision must be safe by itself.
 
 type UnsuccessfulOutcome = Exclude<Outcome, { readonly kind: "completed" }>;
 
@@ -22,10 +23,10 @@
   inDoubt("backend_timeout", ""),
 ];
 
-/** Longest sequence of outcomes that is explored. */
+/** Length of the longest sequences of outcomes that are tested. */
 const MAXIMUM_LENGTH = 4;
 
-/** All sequences of outcomes up to the depth, whoever sent each attempt. */
+/** All sequences of outcomes up to the maximum length. */
 function sequences(): readonly (readonly UnsuccessfulOutcome[])[] {
   let all: readonly (readonly UnsuccessfulOutcome[])[] = [];
   let last: readonly (readonly UnsuccessfulOutcome[])[] = [[]];
@@ -42,7 +43,7 @@
   return outcomes.some(({ kind }) => kind !== "refused_not_run");
 }
 
-/** The failed attempt that ends a sequence of outcomes. */
+/** The last failed attempt of a sequence of outcomes. */
 function lastAttempt(
   outcomes: readonly [UnsuccessfulOutcome, ...UnsuccessfulOutcome[]],
   repeatable: boolean,
@@ -67,16 +68,16 @@
   return decideRetry(lastAttempt([first, ...rest], repeatable), options).kind;
 }
 
-describe("a decision on a retry", () => {
+describe("a retry decision", () => {
   const explored = sequences();
 
-  test("explores all sequences, with and without a possible run", () => {
+  test("is tested on all sequences, with and without a possible run", () => {
     const possible = explored.filter(mayHaveRun);
     expect(explored).toHaveLength(5 + 5 ** 2 + 5 ** 3 + 5 ** 4);
     expect(possible).toHaveLength(explored.length - (2 + 4 + 8 + 16));
   });
 
-  test("never repeats what may have run in any earlier attempt", () => {
+  test("never repeats a request that may have run in any attempt", () => {
     const wrong = explored
       .filter((outcomes) => decide(outcomes, false) === "retry")
       .filter(mayHaveRun)
@@ -84,7 +85,7 @@
     expect(wrong).toEqual([]);
   });
 
-  test("repeats what no server ran, and all that is repeatable", () => {
+  test("repeats requests that no server ran and all repeatable ones", () => {
     const notRun = explored.filter((outcomes) => !mayHaveRun(outcomes));
     expect(notRun.every((all) => decide(all, false) === "retry")).toBe(true);
     expect(explored.every((all) => decide(all, true) === "retry")).toBe(true);
--- a/packages/rampswitch-policy/src/routing_table.ts
+++ b/packages/rampswitch-policy/src/routing_table.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Routing rules compiled once per revision: for a service and a workspace, the
- * groups of backend servers that may serve it, in order of priority.
+ * Routing rules compiled once per revision: the groups of backend servers that
+ * may serve a service for a workspace, in order of priority.
  *
  * @module
  */
@@ -16,11 +16,12 @@
   type Workspace,
 } from "rampswitch-types";
 
-/** A backend server with what choices need to know about it. */
+/** A backend server with the properties of its host that a choice needs. */
 export interface Candidate {
   readonly server: BackendServer;
-  /** Price of its host, in US dollars an hour. */
+  /** Price of the server's host, in US dollars an hour. */
   readonly dollarsPerHour: number;
+  /** Mean time until a host of this class is reclaimed, in hours. */
   readonly meanHoursToReclaim: number;
   readonly reclaimable: boolean;
 }
@@ -31,16 +32,17 @@
   readonly candidates: readonly Candidate[];
 }
 
-/** Where one service's work for one workspace may go. */
+/** The backend servers that one service may use for one workspace. */
 export interface Route {
-  /** Rule that decided; absent where no rule matched. */
+  /** Name of the rule that matched; `undefined` if no rule matched. */
   readonly rule: string | undefined;
   readonly groups: readonly CandidateGroup[];
 }
 
+/** Values for a host class that is not configured: reclaimed once a year. */
 const UNKNOWN_HOST_CLASS = { dollarsPerHour: 1, meanHoursToReclaim: 8760 };
 
-/** Routes of one revision; each is worked out at its first use and kept. */
+/** Routes of one revision; each is compiled at its first use and cached. */
 export class RoutingTable {
   readonly services: ReadonlyMap<string, Service>;
   readonly workspaces: ReadonlyMap<string, Workspace>;
@@ -52,10 +54,10 @@
   constructor(resources: readonly Resource[]) {
     this.services = resourcesByName(resources, "Service");
     this.workspaces = resourcesByName(resources, "Workspace");
-    const classes = resourcesByName(resources, "HostClass");
+    const hostClasses = resourcesByName(resources, "HostClass");
     const candidates = [
       ...resourcesByName(resources, "BackendServer").values(),
-    ].map((server) => candidateOf(server, classes));
+    ].map((server) => candidateOf(server, hostClasses));
     this.candidates = new Map(
       candidates.map((candidate) => [candidate.server.name, candidate]),
     );
@@ -68,12 +70,12 @@
     );
   }
 
-  /** All candidates of a service, whatever the rules say. */
+  /** All candidates of a service, regardless of the routing rules. */
   serviceCandidates(service: string): readonly Candidate[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** Where a service's work for a workspace may go. */
+  /** The route of a service for a workspace. */
   route(service: Service, workspace: Workspace): Route {
     const key = `${service.name}|${workspace.name}`;
     const cached = this.#routes.get(key);
--- a/packages/rampswitch-policy/src/server_health.ts
+++ b/packages/rampswitch-policy/src/server_health.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Health of a backend server: ejection after failures, half-open probes and a
- * slow start, as a state machine without timers.
+ * Health of a backend server: ejection after consecutive failures, half-open
+ * probes and a slow start. The state machine has no timers; callers pass the
+ * time with each event.
  *
  * @module
  */
@@ -15,25 +16,31 @@
 } from "xstate";
 
 interface HealthContext {
+  /** Failures since the last success or ejection. */
   readonly consecutiveFailures: number;
+  /** Ejections since the server was last healthy. */
   readonly ejections: number;
-  /** When the state was entered, in milliseconds since the epoch. */
+  /** Start of the current state, in milliseconds since the epoch. */
   readonly since: number;
 }
 
-/** What happens to a backend server. */
+/** An event that can change a backend server's health. */
 export type HealthEvent =
   | { readonly type: "succeeded"; readonly now: number }
   | { readonly type: "failed"; readonly now: number }
   | { readonly type: "time_passed"; readonly now: number };
 
+/** Consecutive failures after which a server is ejected. */
 const FAILURES_TO_EJECT = 5;
+/** Duration of the first ejection; each further one lasts twice as long. */
 const FIRST_EJECTION_MILLISECONDS = 2_000;
 const MAXIMUM_EJECTION_MILLISECONDS = 60_000;
+/** Time over which a slow start raises a server's load to its full share. */
 const SLOW_START_MILLISECONDS = 10_000;
+/** Share of its load that a server gets at the start of a slow start. */
 const MINIMUM_SLOW_START_SHARE = 0.1;
 
-/** The machine of one backend server's health. */
+/** State machine of one backend server's health. */
 export const HEALTH_MACHINE = setup({
   types: {
     context: {} as HealthContext,
@@ -63,7 +70,7 @@
 }).createMachine({
   id: "serverHealth",
   initial: "healthy",
-  context: { failuresInRow: 0, ejections: 0, since: 0 },
+  context: { consecutiveFailures: 0, ejections: 0, since: 0 },
   states: {
     healthy: {
       on: {
@@ -117,7 +124,7 @@
   );
 }
 
-/** Health of one backend server. */
+/** Health of one backend server as one entry host sees it. */
 export class ServerHealth {
   #snapshot: HealthSnapshot;
   #probeStarted = false;
@@ -126,12 +133,15 @@
     [this.#snapshot] = initialTransition(HEALTH_MACHINE);
   }
 
-  /** The state at the last event. */
+  /** State after the last event. */
   get state(): HealthState {
     return this.#snapshot.value;
   }
 
-  /** Whether events can change anything; a healthy server's successes can't. */
+  /**
+   * Whether only a failure can change the state: the server is healthy and its
+   * last request did not fail.
+   */
   get steady(): boolean {
     return (
       this.state === "healthy" &&
@@ -139,14 +149,14 @@
     );
   }
 
-  /** Takes in an event. */
+  /** Applies an event. */
   handle(event: HealthEvent): void {
     if (this.steady && event.type !== "failed") return;
     [this.#snapshot] = transition(HEALTH_MACHINE, this.#snapshot, event);
     if (event.type !== "time_passed") this.#probeStarted = false;
   }
 
-  /** Whether a request may be sent now; a probing server takes one. */
+  /** Whether a request may be sent now; a probing server gets one at a time. */
   admits(now: number): boolean {
     this.handle({ type: "time_passed", now });
     return this.state === "probing"
@@ -154,12 +164,12 @@
       : this.state !== "ejected";
   }
 
-  /** Notes that a request was sent; it is the probe of a probing server. */
+  /** Records that a request was sent; for a probing server it is the probe. */
   sent(): void {
     this.#probeStarted = this.state === "probing";
   }
 
-  /** Share of its load that a server should get, above 0 and at most 1. */
+  /** Share of its normal load that the server should get, above 0 and at most 1. */
   share(now: number): number {
     if (this.state !== "slowStart") return 1;
     const elapsedShare =
@@ -168,12 +178,13 @@
   }
 }
 
-/** Share of a group that may be ejected at once. */
+/** Maximum share of a group that may be ejected at once. */
 const MAXIMUM_EJECTED_SHARE = 0.5;
 
 /**
- * Whether so many servers of a group may be out at once. Where too many failed,
- * all are asked again, since the others could not carry the load.
+ * Whether this number of servers of a group may be ejected at once. If more
+ * fail, requests go to all of them again, because the remaining servers could
+ * not carry the load.
  */
 export function mayEject(ejected: number, groupSize: number): boolean {
   return ejected <= groupSize * MAXIMUM_EJECTED_SHARE;
--- a/packages/rampswitch-policy/src/server_load.ts
+++ b/packages/rampswitch-policy/src/server_load.ts
@@ -1,22 +1,24 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Load of backend servers: the lagging reports, corrected by what this host
- * sent and saw end since, and by what its peers are likely to have sent.
+ * Load of backend servers: their reports, which arrive late, corrected by the
+ * requests that this host sent and that ended since, and by an estimate of the
+ * requests that its peers sent.
  *
  * @module
  */
 
-/** A backend server's own report. */
+/** Load that a backend server reported. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
+  /** Prompt tokens that are not computed yet. */
   readonly promptTokensWaiting: number;
-  /** When the load was as reported, in milliseconds since the epoch. */
+  /** When the load was measured, in milliseconds since the epoch. */
   readonly at: number;
 }
 
-/** Load as this host estimates it. */
+/** Load of a backend server as estimated by this host. */
 export interface EstimatedLoad {
   readonly requests: number;
   readonly promptTokens: number;
@@ -34,11 +36,15 @@
   at: 0,
 };
 
-/** Time for which a failed request still counts as load. */
+/**
+ * Time for which a failed request still counts as load. Without it a server
+ * that fails fast would seem to have free capacity.
+ */
 const FAILURE_LOAD_MILLISECONDS = 1_000;
+/** Maximum number of sent requests, and of failures, that are stored. */
 const MAXIMUM_TRACKED_REQUESTS = 256;
 
-/** Load of one backend server as one entry host sees it. */
+/** Load of one backend server as estimated by one entry host. */
 export class ServerLoad {
   #report: ReportedLoad = NO_LOAD;
   #sent: readonly SentRequest[] = [];
@@ -46,12 +52,12 @@
   #failures: readonly number[] = [];
   #inProgress = 0;
 
-  /** Requests of this host that are in progress. */
+  /** Number of requests of this host that are in progress. */
   get inProgress(): number {
     return this.#inProgress;
   }
 
-  /** Takes in a report; older ones change nothing. */
+  /** Applies a report; one that is not newer than the last is ignored. */
   report(load: ReportedLoad): void {
     if (load.at <= this.#report.at) return;
     this.#report = load;
@@ -59,7 +65,7 @@
     this.#ended = 0;
   }
 
-  /** Notes that a request was sent. */
+  /** Records that a request was sent. */
   sent(promptTokens: number, now: number): void {
     this.#inProgress += 1;
     this.#sent = [...this.#sent, { at: now, promptTokens }].slice(
@@ -67,7 +73,7 @@
     );
   }
 
-  /** Notes that a request ended; a failed one counts on for a while. */
+  /** Records that a request ended; a failed one still counts for a while. */
   ended(failed: boolean, now: number): void {
     this.#inProgress = Math.max(0, this.#inProgress - 1);
     this.#ended += 1;
@@ -75,7 +81,10 @@
     this.#failures = [...this.#failures, now].slice(-MAXIMUM_TRACKED_REQUESTS);
   }
 
-  /** Estimates the load, given the number of hosts that send alike. */
+  /**
+   * Estimates the load, on the assumption that each of the given number of hosts
+   * sent as many requests as this one since the last report.
+   */
   estimate(now: number, hosts: number): EstimatedLoad {
     this.#failures = this.#failures.filter(
       (at) => now - at < FAILURE_LOAD_MILLISECONDS,
