--- a/packages/rampswitch-configuration/src/lease.ts
+++ b/packages/rampswitch-configuration/src/lease.ts
@@ -11,7 +11,7 @@
 /** Value of a lease object. */
 export interface Lease {
   readonly holder: string;
-  /** Increases by one when the lease is taken anew. */
+  /** Increases by one each time that the lease is taken, but not when renewed. */
   readonly epoch: number;
   /** Milliseconds since the epoch, by the holder's clock. */
   readonly expiresAt: number;
--- a/packages/rampswitch-configuration/src/leaving_marks.ts
+++ b/packages/rampswitch-configuration/src/leaving_marks.ts
@@ -67,21 +67,21 @@
   added: readonly LeavingMark[],
   now: number,
 ): MarkUpdate {
-  const news = added
+  const changes = added
     .filter((mark) => markExpiresAt(mark) > now)
     .filter((mark) => !isCovered(marks.get(mark.host), mark))
     .filter((mark) =>
       changesMark(currentMark(marks.get(mark.host), now), mark),
     );
-  if (news.length === 0) return { marks, news };
+  if (changes.length === 0) return { marks, news: changes };
   const next = new Map(marks);
-  news.forEach((mark) =>
+  changes.forEach((mark) =>
     next.set(
       mark.host,
       mergeMarks(currentMark(next.get(mark.host), now), mark),
     ),
   );
-  return { marks: next, news };
+  return { marks: next, news: changes };
 }
 
 /** Removes expired marks. */
--- a/packages/rampswitch-policy/src/mod.ts
+++ b/packages/rampswitch-policy/src/mod.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Decisions without I/O: routing, choice of backend server,
- * admission, retries, health and capacity.
+ * Decisions without I/O: routing, choice of backend server, admission, retries,
+ * health and capacity.
  *
  * @module
  */
--- a/packages/rampswitch-policy/src/policy_test.ts
+++ b/packages/rampswitch-policy/src/policy_test.ts
@@ -307,7 +307,7 @@
   options: {
     readonly classes?: readonly PlannedClass[];
     readonly now?: number;
-    readonly memory?: typeof NO_CAPACITY_MEMORY;
+    readonly plannerState?: typeof NO_CAPACITY_MEMORY;
   } = {},
 ) {
   return planCapacity(
@@ -318,7 +318,7 @@
       classes: options.classes ?? HOST_CLASSES,
       downloadsFree: 8,
     },
-    options.memory ?? NO_CAPACITY_MEMORY,
+    options.plannerState ?? NO_CAPACITY_MEMORY,
   );
 }
 
@@ -347,10 +347,10 @@
 
   test("ends a spare host only in the fifth round that has one", () => {
     const planned = hosts(["a", "a", "b", "b", "c", "c"]);
-    let memory = NO_CAPACITY_MEMORY;
+    let plannerState = NO_CAPACITY_MEMORY;
     const ends = Array.from({ length: 5 }, () => {
-      const round = plan(70, planned, { memory });
-      memory = round.memory;
+      const round = plan(70, planned, { plannerState });
+      plannerState = round.memory;
       return round.actions.length;
     });
     expect(ends).toEqual([0, 0, 0, 0, 1]);
@@ -361,8 +361,8 @@
       ...host,
       managed: false,
     }));
-    const memory = { ...NO_CAPACITY_MEMORY, spareRounds: 50 };
-    expect(plan(70, planned, { memory }).actions).toEqual([]);
+    const plannerState = { ...NO_CAPACITY_MEMORY, spareRounds: 50 };
+    expect(plan(70, planned, { plannerState }).actions).toEqual([]);
   });
 
   test("does not end hosts during or soon after several reclaims", () => {
@@ -370,13 +370,13 @@
       ...hosts(["a", "a", "b", "b", "c", "c"]),
       ...hosts(["a"], "leaving"),
     ];
-    let { memory } = plan(70, wave);
+    let { memory: plannerState } = plan(70, wave);
     const ends = Array.from({ length: 8 }, (_, round) => {
       const next = plan(70, hosts(["a", "a", "b", "b", "c", "c"]), {
-        memory,
+        plannerState,
         now: 1_000_000 + round * 2_000,
       });
-      memory = next.memory;
+      plannerState = next.memory;
       return next.actions.length;
     });
     expect(ends).toEqual(Array(8).fill(0));
--- a/packages/rampswitch-policy/src/routing_table.ts
+++ b/packages/rampswitch-policy/src/routing_table.ts
@@ -39,7 +39,7 @@
   readonly groups: readonly CandidateGroup[];
 }
 
-/** Values for a host class that is not configured: reclaimed once a year. */
+/** Values for a host class that is not configured; 8760 hours are a year. */
 const UNKNOWN_HOST_CLASS = { dollarsPerHour: 1, meanHoursToReclaim: 8760 };
 
 /** Routes of one revision; each is compiled at its first use and cached. */
