--- a/packages/rampswitch-configuration/src/leaving_marks.ts
+++ b/packages/rampswitch-configuration/src/leaving_marks.ts
@@ -1,13 +1,14 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Marks of hosts that are leaving. A mark only grows: it is never taken back
- * while the host lives, and it ends some time after the host's life.
+ * Marks of hosts that are leaving. A mark is never withdrawn while the host
+ * runs, its deadline can only become earlier, and it expires some time after the
+ * host has ended.
  *
  * @module
  */
 
-/** Sources from which news of a leaving host comes. */
+/** Sources that report that a host is leaving. */
 export const LEAVING_SOURCES = [
   "cloud_notice",
   "host_list",
@@ -18,73 +19,83 @@
 /** One source of {@link LEAVING_SOURCES}. */
 export type LeavingSource = (typeof LEAVING_SOURCES)[number];
 
-/** A host is leaving. */
+/** A mark that a host is leaving. */
 export interface LeavingMark {
   readonly host: string;
   readonly source: LeavingSource;
-  /** When it was first known, in milliseconds since the epoch. */
+  /** When it was first reported, in milliseconds since the epoch. */
   readonly since: number;
-  /** When the host is taken; absent where nobody said. */
+  /**
+   * When the host is reclaimed, in milliseconds since the epoch; `undefined` if
+   * no source reported it.
+   */
   readonly deadline: number | undefined;
 }
 
-/** All marks that one entry host knows, by host. */
+/** All marks that one entry host has, by the name of the marked host. */
 export type LeavingMarks = ReadonlyMap<string, LeavingMark>;
 
-/** Marks after news, and those that were new. */
-export interface MarkedNews {
+/** All marks after an update, and the marks that changed them. */
+export interface MarkUpdate {
   readonly marks: LeavingMarks;
   readonly news: readonly LeavingMark[];
 }
 
-/** How long a mark without a deadline holds; sources tell it again. */
-const UNDATED_MILLISECONDS = 600_000;
+/** Validity of a mark without a deadline; sources report it again in this time. */
+const UNDATED_MARK_MILLISECONDS = 600_000;
 
-/** Time after the end of a host's life in which its mark still holds. */
-const GRACE_MILLISECONDS = 60_000;
+/** Time after the end of a host during which its mark is still valid. */
+const MARK_GRACE_MILLISECONDS = 60_000;
 
-/** When a mark ends: its host is gone by then, the name may be used anew. */
-export function markEndsAt(mark: LeavingMark): number {
-  const end = mark.deadline ?? mark.since + UNDATED_MILLISECONDS;
-  return end + GRACE_MILLISECONDS;
+/** When a mark expires: its host has ended, and its name can be used again. */
+export function markExpiresAt(mark: LeavingMark): number {
+  const end = mark.deadline ?? mark.since + UNDATED_MARK_MILLISECONDS;
+  return end + MARK_GRACE_MILLISECONDS;
 }
 
-/** Whether a mark speaks of a process that started at a time. */
+/** Whether a mark applies to a process that started at a given time. */
 export function markConcerns(mark: LeavingMark, startedAt: number): boolean {
   return (mark.deadline ?? mark.since) > startedAt;
 }
 
 /**
- * Adds marks; a known one keeps its earliest time and deadline. Marks that are
- * over change nothing, so that old news cannot come round again.
+ * Adds marks; each host keeps its earliest time and its earliest deadline.
+ * Expired marks are ignored, so that they cannot spread again.
  */
 export function addMarks(
   marks: LeavingMarks,
   added: readonly LeavingMark[],
   now: number,
-): MarkedNews {
-  const news = added
-    .filter((mark) => markEndsAt(mark) > now)
-    .filter((mark) => !isKnown(marks.get(mark.host), mark))
-    .filter((mark) => isNews(living(marks.get(mark.host), now), mark));
-  if (news.length === 0) return { marks, news };
+): MarkUpdate {
+  const changes = added
+    .filter((mark) => markExpiresAt(mark) > now)
+    .filter((mark) => !isCovered(marks.get(mark.host), mark))
+    .filter((mark) =>
+      changesMark(currentMark(marks.get(mark.host), now), mark),
+    );
+  if (changes.length === 0) return { marks, news: changes };
   const next = new Map(marks);
-  news.forEach((mark) =>
-    next.set(mark.host, joined(living(next.get(mark.host), now), mark)),
+  changes.forEach((mark) =>
+    next.set(
+      mark.host,
+      mergeMarks(currentMark(next.get(mark.host), now), mark),
+    ),
   );
-  return { marks: next, news };
+  return { marks: next, news: changes };
 }
 
-/** Ends marks whose time is over. */
+/** Removes expired marks. */
 export function endMarks(marks: LeavingMarks, now: number): LeavingMarks {
-  const over = [...marks.values()].some((mark) => markEndsAt(mark) <= now);
-  return over
-    ? new Map([...marks].filter(([, mark]) => markEndsAt(mark) > now))
+  const anyExpired = [...marks.values()].some(
+    (mark) => markExpiresAt(mark) <= now,
+  );
+  return anyExpired
+    ? new Map([...marks].filter(([, mark]) => markExpiresAt(mark) > now))
     : marks;
 }
 
-/** A mark whose host still lives; one past its deadline is of another life. */
-function living(
+/** The mark, unless its deadline has passed: then its incarnation has ended. */
+function currentMark(
   mark: LeavingMark | undefined,
   now: number,
 ): LeavingMark | undefined {
@@ -93,23 +104,28 @@
 
 const NO_DEADLINE = Number.POSITIVE_INFINITY;
 
-/** Whether a mark says nothing that is not known, of whichever life. */
-function isKnown(known: LeavingMark | undefined, mark: LeavingMark): boolean {
+/** Whether a known mark, of any incarnation of the host, makes a mark redundant. */
+function isCovered(known: LeavingMark | undefined, mark: LeavingMark): boolean {
   return (
     known !== undefined &&
     (known.deadline ?? NO_DEADLINE) >= (mark.deadline ?? NO_DEADLINE) &&
-    !isNews(known, mark)
+    !changesMark(known, mark)
   );
 }
 
-function isNews(known: LeavingMark | undefined, mark: LeavingMark): boolean {
+/** Whether a mark is the first for its host or has an earlier deadline. */
+function changesMark(
+  known: LeavingMark | undefined,
+  mark: LeavingMark,
+): boolean {
   return (
     known === undefined ||
     (mark.deadline ?? NO_DEADLINE) < (known.deadline ?? NO_DEADLINE)
   );
 }
 
-function joined(
+/** Merges two marks of one host, with the earliest time and deadline. */
+function mergeMarks(
   known: LeavingMark | undefined,
   mark: LeavingMark,
 ): LeavingMark {
--- a/packages/rampswitch-configuration/src/reference_check.ts
+++ b/packages/rampswitch-configuration/src/reference_check.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Checks that resources name only what exists.
+ * Checks that resources refer only to resources that exist.
  *
  * @module
  */
@@ -13,24 +13,24 @@
   resourcesOf,
 } from "./configuration_state.ts";
 
-type ReferenceTest = (
+type ReferenceCheck = (
   resource: Resource,
   state: ConfigurationState,
 ) => readonly string[];
 
-/** Problems with references after a change, one line each. */
+/** Invalid references after a change; one line for each. */
 export function referenceProblems(
   state: ConfigurationState,
   edits: readonly Edit[],
 ): readonly string[] {
   return edits.flatMap((edit) =>
     edit.kind === "put"
-      ? REFERENCE_TESTS[edit.resource.kind](edit.resource, state)
+      ? REFERENCE_CHECKS[edit.resource.kind](edit.resource, state)
       : deletionProblems(edit, state),
   );
 }
 
-const REFERENCE_TESTS: Readonly<Record<ResourceKind, ReferenceTest>> = {
+const REFERENCE_CHECKS: Readonly<Record<ResourceKind, ReferenceCheck>> = {
   Service: () => [],
   BackendServer: (resource, state) =>
     resource.kind !== "BackendServer" ||
@@ -69,7 +69,7 @@
     .filter(({ service }) => service === edit.name)
     .map(
       ({ name }) =>
-        `Service/${edit.name}: BackendServer/${name} names it, ` +
+        `Service/${edit.name}: BackendServer/${name} refers to it, ` +
         "expected no such backend server",
     );
 }
--- a/packages/rampswitch-policy/src/choice.ts
+++ b/packages/rampswitch-policy/src/choice.ts
@@ -1,10 +1,11 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Choice of a backend server: among those allowed and predicted to meet the
- * target, the one of least cost. Its time does not grow with their number: of
- * a large group it looks at the servers that hold the prompt's prefix, a
- * sample of the cheapest, and a sample of all.
+ * Choice of a backend server: the one of lowest cost among those that are
+ * allowed and predicted to meet the latency target. The time of a choice does
+ * not grow with the number of servers: in a large group it scores only the
+ * servers that have the prompt's prefix in their cache, a sample of the
+ * cheapest servers and a sample of all servers.
  *
  * @module
  */
@@ -15,153 +16,185 @@
 import type { PrefixIndex } from "./prefix_index.ts";
 import type { EstimatedLoad } from "./server_load.ts";
 
-/** Speeds of a service's backend servers, learned or assumed. */
+/** Speeds of a service's backend servers, measured or assumed. */
 export interface ServiceSpeeds {
-  /** Milliseconds to compute a prompt token. */
+  /** Milliseconds to compute one prompt token. */
   readonly promptTokenMilliseconds: number;
   /** Milliseconds between generated tokens. */
   readonly tokenMilliseconds: number;
 }
 
-/** A request as the choice sees it. */
+/** The properties of a request that a choice needs. */
 export interface ChoiceRequest {
+  /** Identifiers of the prompt's prefix blocks, from its start. */
   readonly blocks: readonly string[];
   /**
-   * Names the conversation, the same in each of its turns; absent for work
-   * that is not part of one.
+   * Identifier of the conversation, the same for all its requests; `undefined`
+   * if the request does not belong to a conversation.
    */
   readonly conversation?: string | undefined;
-  /** Tokens of the prompt that earlier turns of the conversation had. */
+  /** Prompt tokens that earlier requests of the conversation already had. */
   readonly earlierTokens?: number | undefined;
   readonly promptTokens: number;
+  /** Expected number of tokens of the answer. */
   readonly expectedTokens: number;
+  /** Target of the time to the first token. */
   readonly targetMilliseconds: number;
   readonly weights: ChoiceWeights;
-  /** Servers that an earlier attempt failed on. */
+  /** Names of servers on which an earlier attempt failed. */
   readonly avoid: ReadonlySet<string>;
 }
 
-/** What the choice asks its surroundings. */
+/** State and dependencies of a choice. */
 export interface ChoiceContext {
   readonly now: number;
   readonly random: Random;
   readonly prefixes: PrefixIndex;
+  /** Prompt tokens in one prefix block. */
   readonly blockTokens: number;
   readonly speeds: ServiceSpeeds;
+  /** Estimated load of a server. */
   load(server: string): EstimatedLoad;
-  /** Why a server takes no new work; `undefined` where it does. */
+  /** Reason why a server gets no new requests; `undefined` if it does. */
   excluded(candidate: Candidate): string | undefined;
-  /** Share of its load that a server should get, at most 1. */
+  /** Share of its normal load that a server should get, at most 1. */
   share(server: string): number;
 }
 
-/** Why a candidate scored as it did. */
+/** Score of a candidate and the values that it was computed from. */
 export interface Score {
   readonly server: string;
   readonly priority: number;
+  /** Predicted time to the first token. */
   readonly predictedMilliseconds: number;
+  /** Prompt tokens that the server is expected to have in its prefix cache. */
   readonly cachedTokens: number;
   readonly meetsTarget: boolean;
-  /** US dollars of host time and of tokens computed again, weighted. */
+  /** Weighted cost of host time and of recomputed tokens, in US dollars. */
   readonly cost: number;
 }
 
-/** A candidate that was left out, and why. */
+/** A candidate that was excluded, with the reason. */
 export interface Exclusion {
   readonly server: string;
   readonly reason: string;
 }
 
-/** The outcome of a choice. */
+/** Result of a choice. */
 export interface Choice {
+  /** Score of the chosen server; `undefined` if all were excluded. */
   readonly chosen: Score | undefined;
   readonly scores: readonly Score[];
   readonly exclusions: readonly Exclusion[];
 }
 
-const SMALL_GROUP = 24;
-const SAMPLED = 12;
-const PREFIX_CANDIDATES = 6;
+/** Number of servers up to which all servers of a group are scored. */
+const MAXIMUM_FULLY_SCORED_GROUP = 24;
+/** Servers sampled from a larger group: half of the cheapest, half of all. */
+const SAMPLE_SIZE = 12;
+/** Servers scored because they have a prefix of the prompt in their cache. */
+const MAXIMUM_PREFIX_CANDIDATES = 6;
 const MILLISECONDS_PER_HOUR = 3_600_000;
-/** A queue is worth this share of the price of host time while it waits. */
-const TIME_WEIGHT = 0.25;
-const EQUAL_COST = 1.02;
+/** Cost of time in a queue, as a share of the price of host time. */
+const QUEUE_TIME_WEIGHT = 0.25;
+/** Costs up to this multiple of the lowest cost count as equal. */
+const EQUAL_COST_FACTOR = 1.02;
 
-/** Chooses a backend server along a route. */
+/**
+ * Chooses a backend server of a route: the cheapest one that meets the target,
+ * from the first group that has one. If no server meets the target, it chooses
+ * the one with the shortest predicted time.
+ */
 export function choose(
   route: Route,
   request: ChoiceRequest,
   context: ChoiceContext,
 ): Choice {
-  const cached = new Map(
+  const cachedTokensByServer = new Map(
     context.prefixes
       .matches(request.blocks)
-      .slice(0, PREFIX_CANDIDATES)
+      .slice(0, MAXIMUM_PREFIX_CANDIDATES)
       .map(({ server, blocks }) => [server, blocks * context.blockTokens]),
   );
   const scores: Score[] = [];
   const exclusions: Exclusion[] = [];
   for (const group of route.groups) {
-    const home = homeOf(group.candidates, request, context);
-    const looked = lookedAt(group.candidates, cached, { home, context });
-    const scored = looked.flatMap((candidate) => {
+    const preferred = preferredCandidate(group.candidates, request, context);
+    const considered = candidatesToScore(
+      group.candidates,
+      cachedTokensByServer,
+      {
+        preferred,
+        context,
+      },
+    );
+    const scored = considered.flatMap((candidate) => {
       const reason = request.avoid.has(candidate.server.name)
         ? "an earlier attempt failed on it"
         : context.excluded(candidate);
       if (reason === undefined) {
-        return [score(candidate, request, { cached, context, group, home })];
+        return [
+          score(candidate, request, {
+            cachedTokensByServer,
+            context,
+            group,
+            preferred,
+          }),
+        ];
       }
       exclusions.push({ server: candidate.server.name, reason });
       return [];
     });
     scores.push(...scored);
-    const best = leastCost(
+    const best = lowestCost(
       scored.filter(({ meetsTarget }) => meetsTarget),
-      { random: context.random, home: home?.server.name },
+      { random: context.random, preferred: preferred?.server.name },
     );
     if (best !== undefined) return { chosen: best, scores, exclusions };
   }
-  const [soonest] = scores.toSorted(
+  const [fastest] = scores.toSorted(
     (left, right) => left.predictedMilliseconds - right.predictedMilliseconds,
   );
-  return { chosen: soonest, scores, exclusions };
+  return { chosen: fastest, scores, exclusions };
 }
 
-function lookedAt(
+/** All candidates of a small group; a selection of a large one. */
+function candidatesToScore(
   candidates: readonly Candidate[],
-  cached: ReadonlyMap<string, number>,
+  cachedTokensByServer: ReadonlyMap<string, number>,
   options: {
-    readonly home: Candidate | undefined;
+    readonly preferred: Candidate | undefined;
     readonly context: ChoiceContext;
   },
 ): readonly Candidate[] {
-  if (candidates.length <= SMALL_GROUP) return candidates;
-  const { home, context } = options;
-  const index = indexOf(candidates);
-  const holding = [...cached.keys()].flatMap(
+  if (candidates.length <= MAXIMUM_FULLY_SCORED_GROUP) return candidates;
+  const { preferred, context } = options;
+  const index = groupIndexOf(candidates);
+  const prefixHolders = [...cachedTokensByServer.keys()].flatMap(
     (server) => index.byName.get(server) ?? [],
   );
-  const draws = Array.from({ length: SAMPLED }, (_, draw) => {
+  const draws = Array.from({ length: SAMPLE_SIZE }, (_, draw) => {
     const pool = draw % 2 === 0 ? index.cheapest : candidates;
     return pool[context.random.below(pool.length)];
   });
-  return [...new Set([...holding, home, ...draws])].filter(
+  return [...new Set([...prefixHolders, preferred, ...draws])].filter(
     (candidate) => candidate !== undefined,
   );
 }
 
 /**
- * The server where a conversation belongs: among the cheapest, so that its
- * turns find their prefix at a low price, whichever host they come through.
+ * The preferred server of a conversation, one of the cheapest. All entry hosts
+ * find the same one, so that the requests of a conversation find their prefix
+ * in its cache at a low price.
  */
-function homeOf(
+function preferredCandidate(
   candidates: readonly Candidate[],
   request: ChoiceRequest,
   context: ChoiceContext,
 ): Candidate | undefined {
   const { conversation } = request;
   if (conversation === undefined) return undefined;
-  return indexOf(candidates).ring.find(
+  return groupIndexOf(candidates).ring.find(
     conversation,
     (candidate) =>
       !request.avoid.has(candidate.server.name) &&
@@ -171,18 +204,19 @@
   );
 }
 
+/** Values derived from a group of candidates, cached for each group. */
 interface GroupIndex {
   readonly byName: ReadonlyMap<string, Candidate>;
-  /** Candidates that share the lowest price. */
+  /** Candidates with the lowest price. */
   readonly cheapest: readonly Candidate[];
   readonly ring: AffinityRing;
 }
 
 const GROUP_INDEXES = new WeakMap<readonly Candidate[], GroupIndex>();
 
-function indexOf(candidates: readonly Candidate[]): GroupIndex {
-  const known = GROUP_INDEXES.get(candidates);
-  if (known !== undefined) return known;
+function groupIndexOf(candidates: readonly Candidate[]): GroupIndex {
+  const cached = GROUP_INDEXES.get(candidates);
+  if (cached !== undefined) return cached;
   const lowest = Math.min(
     ...candidates.map(({ dollarsPerHour }) => dollarsPerHour),
   );
@@ -200,45 +234,46 @@
   return index;
 }
 
-/** Whether a server is among candidates. */
+/** Whether a group of candidates has a server with this name. */
 export function serverIn(
   candidates: readonly Candidate[],
   server: string,
 ): boolean {
-  return indexOf(candidates).byName.has(server);
+  return groupIndexOf(candidates).byName.has(server);
 }
 
 function score(
   candidate: Candidate,
   request: ChoiceRequest,
   options: {
-    readonly cached: ReadonlyMap<string, number>;
+    readonly cachedTokensByServer: ReadonlyMap<string, number>;
     readonly context: ChoiceContext;
     readonly group: { readonly priority: number };
-    readonly home: Candidate | undefined;
+    readonly preferred: Candidate | undefined;
   },
 ): Score {
-  const { context, cached } = options;
+  const { context, cachedTokensByServer } = options;
   const { name, concurrency } = candidate.server;
-  const expected =
-    candidate === options.home ? (request.earlierTokens ?? 0) : 0;
+  const expectedCachedTokens =
+    candidate === options.preferred ? (request.earlierTokens ?? 0) : 0;
   const cachedTokens = Math.min(
     request.promptTokens,
-    Math.max(expected, cached.get(name) ?? 0),
+    Math.max(expectedCachedTokens, cachedTokensByServer.get(name) ?? 0),
   );
-  const uncached = request.promptTokens - cachedTokens;
+  const uncachedPromptTokens = request.promptTokens - cachedTokens;
   const load = context.load(name);
   const { promptTokenMilliseconds, tokenMilliseconds } = context.speeds;
   const runMilliseconds =
-    uncached * promptTokenMilliseconds +
+    uncachedPromptTokens * promptTokenMilliseconds +
     request.expectedTokens * tokenMilliseconds;
   const waitingRequests = Math.max(0, load.requests + 1 - concurrency);
   const waitMilliseconds =
     (waitingRequests * runMilliseconds) / concurrency +
     load.promptTokens * promptTokenMilliseconds;
-  const firstToken = uncached * promptTokenMilliseconds + tokenMilliseconds;
+  const firstTokenMilliseconds =
+    uncachedPromptTokens * promptTokenMilliseconds + tokenMilliseconds;
   const predictedMilliseconds =
-    (waitMilliseconds + firstToken) / context.share(name);
+    (waitMilliseconds + firstTokenMilliseconds) / context.share(name);
   return {
     server: name,
     priority: options.group.priority,
@@ -246,7 +281,7 @@
     cachedTokens,
     meetsTarget: predictedMilliseconds <= request.targetMilliseconds,
     cost: costOf(candidate, request, {
-      uncached,
+      uncachedPromptTokens,
       runMilliseconds,
       waitMilliseconds,
       promptTokenMilliseconds,
@@ -258,36 +293,41 @@
   candidate: Candidate,
   request: ChoiceRequest,
   durations: {
-    readonly uncached: number;
+    readonly uncachedPromptTokens: number;
     readonly runMilliseconds: number;
     readonly waitMilliseconds: number;
     readonly promptTokenMilliseconds: number;
   },
 ): number {
-  const { runMilliseconds, waitMilliseconds, uncached } = durations;
+  const { runMilliseconds, waitMilliseconds, uncachedPromptTokens } = durations;
   const pricePerMillisecond = candidate.dollarsPerHour / MILLISECONDS_PER_HOUR;
-  const hostTime =
-    pricePerMillisecond * (runMilliseconds + TIME_WEIGHT * waitMilliseconds);
-  const lossAtReclaim =
+  const hostTimeCost =
+    pricePerMillisecond *
+    (runMilliseconds + QUEUE_TIME_WEIGHT * waitMilliseconds);
+  const expectedTokensLost =
     (runMilliseconds / (candidate.meanHoursToReclaim * MILLISECONDS_PER_HOUR)) *
     (request.promptTokens + request.expectedTokens / 2);
-  const recomputed =
+  const recomputationCost =
     pricePerMillisecond *
     durations.promptTokenMilliseconds *
-    (uncached + lossAtReclaim);
+    (uncachedPromptTokens + expectedTokensLost);
   return (
-    request.weights.cost * hostTime +
-    request.weights.recomputedTokens * recomputed
+    request.weights.cost * hostTimeCost +
+    request.weights.recomputedTokens * recomputationCost
   );
 }
 
-function leastCost(
+/** A random score of those with the lowest cost; the preferred server wins. */
+function lowestCost(
   scores: readonly Score[],
-  options: { readonly random: Random; readonly home: string | undefined },
+  options: { readonly random: Random; readonly preferred: string | undefined },
 ): Score | undefined {
-  const least = Math.min(...scores.map(({ cost }) => cost));
-  const equal = scores.filter(({ cost }) => cost <= least * EQUAL_COST);
-  const home = equal.find(({ server }) => server === options.home);
-  if (home !== undefined || equal.length <= 1) return home ?? equal[0];
+  const lowest = Math.min(...scores.map(({ cost }) => cost));
+  const equal = scores.filter(({ cost }) => cost <= lowest * EQUAL_COST_FACTOR);
+  const preferredScore = equal.find(
+    ({ server }) => server === options.preferred,
+  );
+  if (preferredScore !== undefined || equal.length <= 1)
+    return preferredScore ?? equal[0];
   return equal[options.random.below(equal.length)];
 }
--- a/packages/rampswitch-policy/src/mod.ts
+++ b/packages/rampswitch-policy/src/mod.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Pure decisions under load.
+ * Decisions without I/O: routing, choice of backend server, admission, retries,
+ * health and capacity.
  *
  * @module
  */
@@ -9,7 +10,7 @@
 export * from "./affinity_ring.ts";
 export * from "./capacity_plan.ts";
 export * from "./choice.ts";
-export * from "./move_plan.ts";
+export * from "./migration_plan.ts";
 export * from "./prefix_index.ts";
 export * from "./retry.ts";
 export * from "./routing_table.ts";
--- a/packages/rampswitch-policy/src/prefix_index.ts
+++ b/packages/rampswitch-policy/src/prefix_index.ts
@@ -1,47 +1,50 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Which backend servers hold which prompt prefixes, as far as own dispatches
- * and late, gappy cache events tell.
+ * An estimate of which backend servers have which prompt prefixes in their
+ * cache. It is based on the requests that this host sent and on cache events of
+ * the servers, which arrive late and can be incomplete.
  *
  * @module
  */
 
-/** How much of a prompt a backend server is thought to hold. */
+/** Estimate of how much of a prompt a backend server has in its cache. */
 export interface PrefixMatch {
   readonly server: string;
-  /** Blocks from the start of the prompt. */
+  /** Number of cached blocks, counted from the start of the prompt. */
   readonly blocks: number;
 }
 
-const SERVERS_PER_BLOCK = 4;
+/** Servers stored for each block; the most recent ones are kept. */
+const MAXIMUM_SERVERS_PER_BLOCK = 4;
 
-/** An index bounded in blocks; the least recently used go first. */
+/** A bounded index of prefixes; the least recently stored blocks are evicted. */
 export class PrefixIndex {
   readonly #servers = new Map<string, readonly string[]>();
   readonly #capacity: number;
 
+  /** Creates an empty index with a capacity in blocks. */
   constructor(capacity: number) {
     this.#capacity = capacity;
   }
 
-  /** Number of blocks remembered. */
+  /** Number of blocks in the index. */
   get size(): number {
     return this.#servers.size;
   }
 
-  /** Notes that a server computes or has stored these blocks. */
+  /** Records that a server computes or has stored these blocks. */
   stored(server: string, blocks: readonly string[]): void {
     blocks.forEach((block) => {
-      const known = this.#servers.get(block) ?? [];
+      const holders = this.#servers.get(block) ?? [];
       this.#servers.delete(block);
       this.#servers.set(
         block,
-        known[0] === server
-          ? known
-          : [server, ...known.filter((other) => other !== server)].slice(
+        holders[0] === server
+          ? holders
+          : [server, ...holders.filter((other) => other !== server)].slice(
               0,
-              SERVERS_PER_BLOCK,
+              MAXIMUM_SERVERS_PER_BLOCK,
             ),
       );
     });
@@ -52,35 +55,36 @@
     }
   }
 
-  /** Notes that a server dropped a block. */
+  /** Records that a server evicted a block. */
   evicted(server: string, block: string): void {
-    const known = this.#servers.get(block);
-    if (known === undefined) return;
-    const others = known.filter((other) => other !== server);
+    const holders = this.#servers.get(block);
+    if (holders === undefined) return;
+    const others = holders.filter((other) => other !== server);
     if (others.length === 0) this.#servers.delete(block);
     else this.#servers.set(block, others);
   }
 
-  /** Forgets everything about a server, as after its restart. */
+  /** Removes a server from the index, for example after its restart. */
   forget(server: string): void {
     [...this.#servers]
       .filter(([, servers]) => servers.includes(server))
       .forEach(([block]) => this.evicted(server, block));
   }
 
-  /** Servers that hold the most of a prompt, best first. */
+  /** Servers that have a prefix of a prompt, the longest prefix first. */
   matches(blocks: readonly string[]): readonly PrefixMatch[] {
-    const held = new Map<string, number>();
-    const missing = blocks.findIndex((block, index) => {
+    const heldBlocks = new Map<string, number>();
+    const firstMissing = blocks.findIndex((block, index) => {
       const servers = this.#servers.get(block);
       servers?.forEach((server) => {
-        if ((held.get(server) ?? 0) >= index) held.set(server, index + 1);
+        if ((heldBlocks.get(server) ?? 0) >= index)
+          heldBlocks.set(server, index + 1);
       });
       return servers === undefined;
     });
-    return missing === 0
+    return firstMissing === 0
       ? []
-      : [...held]
+      : [...heldBlocks]
           .map(([server, count]) => ({ server, blocks: count }))
           .toSorted((left, right) => right.blocks - left.blocks);
   }
--- a/packages/rampswitch-policy/src/retry.ts
+++ b/packages/rampswitch-policy/src/retry.ts
@@ -1,71 +1,78 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Retries: what may be sent again, how often, and after which wait.
+ * Retries: which requests may be sent again, how often, and after which wait.
  *
  * @module
  */
 import type { Outcome, RetryReason } from "rampswitch-types";
 import type { Random } from "rampswitch-utils";
 
-/** Limits of retries. */
+/** Limits on retries. */
 export interface RetryLimits {
-  /** Retries earned by each first attempt. */
-  readonly perRequest: number;
-  /** Retries that can be saved up. */
-  readonly saved: number;
+  /** Retries that each first attempt adds to the budget. */
+  readonly retriesPerRequest: number;
+  /** Maximum number of retries in the budget. */
+  readonly maximumSavedRetries: number;
+  /** Maximum number of consecutive attempts without progress. */
   readonly attempts: number;
-  readonly firstWaitMilliseconds: number;
+  /** Upper limit of the wait after the first attempt; it doubles each time. */
+  readonly initialWaitMilliseconds: number;
+  /** Upper limit of the wait after any attempt. */
   readonly longestWaitMilliseconds: number;
 }
 
-/** Limits in force where nothing else is said. */
+/** Default limits. */
 export const RETRY_LIMITS: RetryLimits = {
-  perRequest: 0.1,
-  saved: 20,
+  retriesPerRequest: 0.1,
+  maximumSavedRetries: 20,
   attempts: 4,
-  firstWaitMilliseconds: 10,
+  initialWaitMilliseconds: 10,
   longestWaitMilliseconds: 500,
 };
 
-/** Retries that a service may still spend; it bounds the amplification. */
+/**
+ * Number of retries that a service may still send. It bounds the additional
+ * load that retries cause when a whole service fails.
+ */
 export class RetryBudget {
   readonly #limits: RetryLimits;
-  #saved: number;
+  #savedRetries: number;
 
   constructor(limits: RetryLimits = RETRY_LIMITS) {
     this.#limits = limits;
-    this.#saved = limits.saved;
+    this.#savedRetries = limits.maximumSavedRetries;
   }
 
-  /** Earns for a first attempt. */
+  /** Adds the share of a retry that a first attempt earns. */
   earn(): void {
-    this.#saved = Math.min(
-      this.#limits.saved,
-      this.#saved + this.#limits.perRequest,
+    this.#savedRetries = Math.min(
+      this.#limits.maximumSavedRetries,
+      this.#savedRetries + this.#limits.retriesPerRequest,
     );
   }
 
-  /** Spends one retry, if there is one. */
+  /** Takes one retry from the budget; returns whether there was one. */
   spend(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#savedRetries < 1) return false;
+    this.#savedRetries -= 1;
     return true;
   }
 }
 
-/** An attempt that did not succeed. */
+/** A failed attempt of a request. */
 export interface FailedAttempt {
   readonly outcome: Exclude<Outcome, { readonly kind: "completed" }>;
-  /** Whether an attempt before this one, here or elsewhere, may have run. */
+  /** Whether an earlier attempt, on this host or another, may have run. */
   readonly mayHaveRunBefore: boolean;
-  /** Whether the work may run twice. */
+  /** Whether the request may run twice. */
   readonly repeatable: boolean;
-  /** Attempts in a row that brought nothing of the answer. */
+  /** Consecutive attempts that delivered nothing of the answer. */
   readonly attempts: number;
   /**
-   * Whether the attempt brought a part of the answer. To go on with it is no
-   * added load: the server that carried it is lost.
+   * Whether the attempt delivered a part of the answer. Continuing that answer
+   * adds no load, because the server that ran the attempt is lost; it needs no
+   * retry from the budget.
    */
   readonly madeProgress?: boolean;
   /** Milliseconds until the caller's deadline. */
@@ -83,9 +90,10 @@
   | { readonly kind: "give_up"; readonly budgetEmpty: boolean };
 
 /**
- * Decides on a failed attempt. Work that is not repeatable may be sent again
- * only if none of its attempts can have run: a server that rejects the last one
- * knows nothing of those before.
+ * Decides whether to send a request again after a failed attempt. A request
+ * that is not repeatable may be sent again only if none of its attempts can
+ * have run: a server that rejects the last attempt has no information about
+ * the earlier ones.
  */
 export function decideRetry(
   attempt: FailedAttempt,
@@ -98,15 +106,16 @@
   const limits = options.limits ?? RETRY_LIMITS;
   const notRun =
     attempt.outcome.kind === "refused_not_run" && !attempt.mayHaveRunBefore;
-  const allowed = attempt.repeatable || notRun;
-  const longest = Math.min(
+  const safeToRepeat = attempt.repeatable || notRun;
+  const maximumWaitMilliseconds = Math.min(
     limits.longestWaitMilliseconds,
-    limits.firstWaitMilliseconds * 2 ** (attempt.attempts - 1),
+    limits.initialWaitMilliseconds * 2 ** (attempt.attempts - 1),
   );
-  const waitMilliseconds = longest * options.random.next();
-  const tried = attempt.attempts >= limits.attempts;
-  const late = waitMilliseconds >= attempt.remainingMilliseconds;
-  if (!allowed || tried || late) return { kind: "give_up", budgetEmpty: false };
+  const waitMilliseconds = maximumWaitMilliseconds * options.random.next();
+  const attemptsExhausted = attempt.attempts >= limits.attempts;
+  const pastDeadline = waitMilliseconds >= attempt.remainingMilliseconds;
+  if (!safeToRepeat || attemptsExhausted || pastDeadline)
+    return { kind: "give_up", budgetEmpty: false };
   return attempt.madeProgress === true || options.budget.spend()
     ? { kind: "retry", reason: attempt.reason, waitMilliseconds }
     : { kind: "give_up", budgetEmpty: true };
--- a/packages/rampswitch-policy/src/routing_table.ts
+++ b/packages/rampswitch-policy/src/routing_table.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Routing rules compiled once per revision: for a service and a workspace, the
- * groups of backend servers that may serve it, in order of priority.
+ * Routing rules compiled once per revision: the groups of backend servers that
+ * may serve a service for a workspace, in order of priority.
  *
  * @module
  */
@@ -16,11 +16,12 @@
   type Workspace,
 } from "rampswitch-types";
 
-/** A backend server with what choices need to know about it. */
+/** A backend server with the properties of its host that a choice needs. */
 export interface Candidate {
   readonly server: BackendServer;
-  /** Price of its host, in US dollars an hour. */
+  /** Price of the server's host, in US dollars an hour. */
   readonly dollarsPerHour: number;
+  /** Mean time until a host of this class is reclaimed, in hours. */
   readonly meanHoursToReclaim: number;
   readonly reclaimable: boolean;
 }
@@ -31,16 +32,17 @@
   readonly candidates: readonly Candidate[];
 }
 
-/** Where one service's work for one workspace may go. */
+/** The backend servers that one service may use for one workspace. */
 export interface Route {
-  /** Rule that decided; absent where no rule matched. */
+  /** Name of the rule that matched; `undefined` if no rule matched. */
   readonly rule: string | undefined;
   readonly groups: readonly CandidateGroup[];
 }
 
-const UNKNOWN_CLASS = { dollarsPerHour: 1, meanHoursToReclaim: 8760 };
+/** Values for a host class that is not configured; 8760 hours are a year. */
+const UNKNOWN_HOST_CLASS = { dollarsPerHour: 1, meanHoursToReclaim: 8760 };
 
-/** Routes of one revision; each is worked out at its first use and kept. */
+/** Routes of one revision; each is compiled at its first use and cached. */
 export class RoutingTable {
   readonly services: ReadonlyMap<string, Service>;
   readonly workspaces: ReadonlyMap<string, Workspace>;
@@ -50,32 +52,34 @@
   readonly #routes = new Map<string, Route>();
 
   constructor(resources: readonly Resource[]) {
-    this.services = named(resources, "Service");
-    this.workspaces = named(resources, "Workspace");
-    const classes = named(resources, "HostClass");
-    const candidates = [...named(resources, "BackendServer").values()].map(
-      (server) => candidateOf(server, classes),
-    );
+    this.services = resourcesByName(resources, "Service");
+    this.workspaces = resourcesByName(resources, "Workspace");
+    const hostClasses = resourcesByName(resources, "HostClass");
+    const candidates = [
+      ...resourcesByName(resources, "BackendServer").values(),
+    ].map((server) => candidateOf(server, hostClasses));
     this.candidates = new Map(
       candidates.map((candidate) => [candidate.server.name, candidate]),
     );
     this.#byService = groupBy(candidates, ({ server }) => server.service);
-    this.#rules = [...named(resources, "RoutingRule").values()].toSorted(
+    this.#rules = [
+      ...resourcesByName(resources, "RoutingRule").values(),
+    ].toSorted(
       (left, right) =>
         left.priority - right.priority || (left.name < right.name ? -1 : 1),
     );
   }
 
-  /** All candidates of a service, whatever the rules say. */
+  /** All candidates of a service, regardless of the routing rules. */
   serviceCandidates(service: string): readonly Candidate[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** Where a service's work for a workspace may go. */
+  /** The route of a service for a workspace. */
   route(service: Service, workspace: Workspace): Route {
     const key = `${service.name}|${workspace.name}`;
-    const known = this.#routes.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#routes.get(key);
+    if (cached !== undefined) return cached;
     const route = this.#compile(service, workspace);
     this.#routes.set(key, route);
     return route;
@@ -94,7 +98,7 @@
         groups: all.length === 0 ? [] : [{ priority: 0, candidates: all }],
       };
     }
-    const placed = all.flatMap((candidate) => {
+    const prioritized = all.flatMap((candidate) => {
       const priorities = rule.targets
         .filter(({ selector }) =>
           selectorMatches(selector, candidate.server.labels),
@@ -104,7 +108,7 @@
         ? []
         : [{ candidate, priority: Math.min(...priorities) }];
     });
-    const groups = [...groupBy(placed, ({ priority }) => priority)]
+    const groups = [...groupBy(prioritized, ({ priority }) => priority)]
       .toSorted(([left], [right]) => left - right)
       .map(([priority, members]) => ({
         priority,
@@ -121,14 +125,15 @@
   const hostClass = classes.get(server.hostClass);
   return {
     server,
-    dollarsPerHour: hostClass?.dollarsPerHour ?? UNKNOWN_CLASS.dollarsPerHour,
+    dollarsPerHour:
+      hostClass?.dollarsPerHour ?? UNKNOWN_HOST_CLASS.dollarsPerHour,
     meanHoursToReclaim:
-      hostClass?.meanHoursToReclaim ?? UNKNOWN_CLASS.meanHoursToReclaim,
+      hostClass?.meanHoursToReclaim ?? UNKNOWN_HOST_CLASS.meanHoursToReclaim,
     reclaimable: hostClass?.reclaimable ?? false,
   };
 }
 
-function named<Kind extends Resource["kind"]>(
+function resourcesByName<Kind extends Resource["kind"]>(
   resources: readonly Resource[],
   kind: Kind,
 ): ReadonlyMap<string, Extract<Resource, { readonly kind: Kind }>> {
--- a/packages/rampswitch-policy/src/server_health.ts
+++ b/packages/rampswitch-policy/src/server_health.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Health of a backend server: ejection after failures, half-open probes and a
- * slow start, as a state machine without timers.
+ * Health of a backend server: ejection after consecutive failures, half-open
+ * probes and a slow start. The state machine has no timers; callers pass the
+ * time with each event.
  *
  * @module
  */
@@ -15,25 +16,31 @@
 } from "xstate";
 
 interface HealthContext {
-  readonly failuresInRow: number;
+  /** Failures since the last success or ejection. */
+  readonly consecutiveFailures: number;
+  /** Ejections since the server was last healthy. */
   readonly ejections: number;
-  /** When the state was entered, in milliseconds since the epoch. */
+  /** Start of the current state, in milliseconds since the epoch. */
   readonly since: number;
 }
 
-/** What happens to a backend server. */
+/** An event that can change a backend server's health. */
 export type HealthEvent =
   | { readonly type: "succeeded"; readonly now: number }
   | { readonly type: "failed"; readonly now: number }
   | { readonly type: "time_passed"; readonly now: number };
 
+/** Consecutive failures after which a server is ejected. */
 const FAILURES_TO_EJECT = 5;
+/** Duration of the first ejection; each further one lasts twice as long. */
 const FIRST_EJECTION_MILLISECONDS = 2_000;
-const LONGEST_EJECTION_MILLISECONDS = 60_000;
+const MAXIMUM_EJECTION_MILLISECONDS = 60_000;
+/** Time over which a slow start raises a server's load to its full share. */
 const SLOW_START_MILLISECONDS = 10_000;
-const SLOW_START_FLOOR = 0.1;
+/** Share of its load that a server gets at the start of a slow start. */
+const MINIMUM_SLOW_START_SHARE = 0.1;
 
-/** The machine of one backend server's health. */
+/** State machine of one backend server's health. */
 export const HEALTH_MACHINE = setup({
   types: {
     context: {} as HealthContext,
@@ -41,7 +48,7 @@
   },
   guards: {
     lastFailure: ({ context }) =>
-      context.failuresInRow + 1 >= FAILURES_TO_EJECT,
+      context.consecutiveFailures + 1 >= FAILURES_TO_EJECT,
     ejectionOver: ({ context, event }) =>
       event.now - context.since >= ejectionMilliseconds(context.ejections),
     slowStartOver: ({ context, event }) =>
@@ -49,12 +56,12 @@
   },
   actions: {
     countFailure: assign({
-      failuresInRow: ({ context }) => context.failuresInRow + 1,
+      consecutiveFailures: ({ context }) => context.consecutiveFailures + 1,
     }),
-    clearFailures: assign({ failuresInRow: 0 }),
+    clearFailures: assign({ consecutiveFailures: 0 }),
     clearEjections: assign({ ejections: 0 }),
     eject: assign({
-      failuresInRow: 0,
+      consecutiveFailures: 0,
       ejections: ({ context }) => context.ejections + 1,
       since: ({ event }) => event.now,
     }),
@@ -63,7 +70,7 @@
 }).createMachine({
   id: "serverHealth",
   initial: "healthy",
-  context: { failuresInRow: 0, ejections: 0, since: 0 },
+  context: { consecutiveFailures: 0, ejections: 0, since: 0 },
   states: {
     healthy: {
       on: {
@@ -112,12 +119,12 @@
 
 function ejectionMilliseconds(ejections: number): number {
   return Math.min(
-    LONGEST_EJECTION_MILLISECONDS,
+    MAXIMUM_EJECTION_MILLISECONDS,
     FIRST_EJECTION_MILLISECONDS * 2 ** Math.max(0, ejections - 1),
   );
 }
 
-/** Health of one backend server. */
+/** Health of one backend server as one entry host sees it. */
 export class ServerHealth {
   #snapshot: HealthSnapshot;
   #probeStarted = false;
@@ -126,26 +133,30 @@
     [this.#snapshot] = initialTransition(HEALTH_MACHINE);
   }
 
-  /** The state at the last event. */
+  /** State after the last event. */
   get state(): HealthState {
     return this.#snapshot.value;
   }
 
-  /** Whether events can change anything; a healthy server's successes can't. */
+  /**
+   * Whether only a failure can change the state: the server is healthy and its
+   * last request did not fail.
+   */
   get steady(): boolean {
     return (
-      this.state === "healthy" && this.#snapshot.context.failuresInRow === 0
+      this.state === "healthy" &&
+      this.#snapshot.context.consecutiveFailures === 0
     );
   }
 
-  /** Takes in an event. */
+  /** Applies an event. */
   handle(event: HealthEvent): void {
     if (this.steady && event.type !== "failed") return;
     [this.#snapshot] = transition(HEALTH_MACHINE, this.#snapshot, event);
     if (event.type !== "time_passed") this.#probeStarted = false;
   }
 
-  /** Whether a request may be sent now; a probing server takes one. */
+  /** Whether a request may be sent now; a probing server gets one at a time. */
   admits(now: number): boolean {
     this.handle({ type: "time_passed", now });
     return this.state === "probing"
@@ -153,27 +164,28 @@
       : this.state !== "ejected";
   }
 
-  /** Notes that a request was sent; it is the probe of a probing server. */
+  /** Records that a request was sent; for a probing server it is the probe. */
   sent(): void {
     this.#probeStarted = this.state === "probing";
   }
 
-  /** Share of its load that a server should get, above 0 and at most 1. */
+  /** Share of its normal load that the server should get, above 0 and at most 1. */
   share(now: number): number {
     if (this.state !== "slowStart") return 1;
-    const passed =
+    const elapsedShare =
       (now - this.#snapshot.context.since) / SLOW_START_MILLISECONDS;
-    return Math.max(SLOW_START_FLOOR, Math.min(1, passed));
+    return Math.max(MINIMUM_SLOW_START_SHARE, Math.min(1, elapsedShare));
   }
 }
 
-/** Share of a group that may be ejected at once. */
-const LARGEST_EJECTED_SHARE = 0.5;
+/** Maximum share of a group that may be ejected at once. */
+const MAXIMUM_EJECTED_SHARE = 0.5;
 
 /**
- * Whether so many servers of a group may be out at once. Where too many failed,
- * all are asked again, since the others could not carry the load.
+ * Whether this number of servers of a group may be ejected at once. If more
+ * fail, requests go to all of them again, because the remaining servers could
+ * not carry the load.
  */
 export function mayEject(ejected: number, groupSize: number): boolean {
-  return ejected <= groupSize * LARGEST_EJECTED_SHARE;
+  return ejected <= groupSize * MAXIMUM_EJECTED_SHARE;
 }
