--- a/packages/rampswitch-entry/src/attempt/backend_client.ts
+++ b/packages/rampswitch-entry/src/attempt/backend_client.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Calls to backend servers: connection pools, and the rule that tells whether a
- * failed call can have run.
+ * Calls to backend servers: connection pools, and the rule that decides whether
+ * a failed call may have run.
  *
  * @module
  */
@@ -26,17 +26,17 @@
   readonly signal?: AbortSignal;
 }
 
-/** The head of an answer, and its body to be read. */
+/** Status and headers of an answer, and its body as a stream. */
 export type BackendReply = Dispatcher.ResponseData;
 
-/** A call that brought no answer. */
+/** The outcome of a call without an answer. */
 export type CallFailure = RefusedNotRun | InDoubt;
 
-const CONNECT_MILLISECONDS = 1_000;
+const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
 const CONNECTIONS_PER_SERVER = 256;
-const KEEP_ALIVE_MILLISECONDS = 4_000;
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 4_000;
 
-/** Codes of errors raised before a byte of the request went out. */
+/** Codes of errors that are raised before any byte of the request is sent. */
 const NOT_SENT_CODES: readonly string[] = [
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -50,11 +50,11 @@
   "UND_ERR_BODY_TIMEOUT",
 ];
 
-/** Pools of connections to all backend servers. */
+/** HTTP client with a connection pool for each backend server. */
 export class BackendClient implements AsyncDisposable {
   readonly #pools = new Map<string, Pool>();
 
-  /** Makes a call; a failure says whether the work can have run. */
+  /** Makes a call; the error states whether the request may have run. */
   async call(
     address: string,
     call: BackendCall,
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Closes the pools of servers that are no longer configured. */
+  /** Closes the pools of all servers but those at the given addresses. */
   keepOnly(addresses: ReadonlySet<string>): void {
     [...this.#pools]
       .filter(([address]) => !addresses.has(address))
@@ -96,21 +96,21 @@
     const pool = new Pool(`http://${address}`, {
       connections: CONNECTIONS_PER_SERVER,
       pipelining: 1,
-      connectTimeout: CONNECT_MILLISECONDS,
-      keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+      connectTimeout: CONNECT_TIMEOUT_MILLISECONDS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
     });
     this.#pools.set(address, pool);
     return pool;
   }
 }
 
-/** The outcome of a call that raised an error. */
+/** Maps an error of a call to its outcome: not run, or in doubt. */
 export function callFailure(address: string, error: unknown): CallFailure {
   const code = (error as { readonly code?: string }).code ?? "";
   const message = error instanceof Error ? error.message : String(error);
   const detail = `backend server at ${address}: ${message}`;
   if (NOT_SENT_CODES.includes(code)) return refused("connect_failed", detail);
   if (TIMEOUT_CODES.includes(code)) return inDoubt("backend_timeout", detail);
-  const nonsense = error instanceof Error && error.name === "HTTPParserError";
-  return inDoubt(nonsense ? "backend_nonsense" : "backend_lost", detail);
+  const unparsable = error instanceof Error && error.name === "HTTPParserError";
+  return inDoubt(unparsable ? "backend_nonsense" : "backend_lost", detail);
 }
--- a/packages/rampswitch-entry/src/attempt/chat_run.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_run.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The state of one chat request that runs on this host.
+ * State of one chat request that runs on this host.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import type { Answer } from "../outcome/answer_cache.ts";
 import { type ChatRequest, parseChatRequest } from "../intake/chat_request.ts";
 
-/** One chat request, from its first attempt to its end. */
+/** A chat request from its first attempt to its outcome. */
 export interface Run {
   readonly answer: Answer;
   readonly request: ChatRequest;
@@ -25,37 +25,46 @@
   readonly repeatable: boolean;
   readonly avoid: Set<string>;
   attempts: number;
-  /** Attempts in a row that brought nothing of the answer. */
-  fruitless: number;
+  /**
+   * Consecutive failed attempts. Counting restarts at 1 with a failed attempt
+   * that delivered a part of the answer.
+   */
+  failuresSinceProgress: number;
   server: BackendServer | undefined;
   attempt: string;
   abort: AbortController;
-  /** Server that the work is being moved to. */
-  moveTo: BackendServer | undefined;
+  /** Server that the run is being migrated to. */
+  migrationTarget: BackendServer | undefined;
   /**
-   * Whether the attempt is ended to move the work. A new attempt clears it, so
-   * that a move begun between attempts doesn't hide the failure of the next one
-   * from the limit and the budget of retries.
+   * Whether the current attempt is being ended for a migration. A new attempt
+   * resets it. Otherwise a migration started between two attempts would exempt
+   * the failure of the second from the retry limit and the retry budget.
    */
-  moving: boolean;
+  migrating: boolean;
   cancelled: boolean;
   /**
-   * Whether an attempt got past the point where it surely did not run. A host
-   * calls the engine before others know of the attempt, so that what was taken
-   * over may have run even where no attempt is known.
+   * Whether an attempt may have run. It is true from the start for a request
+   * taken over from another host: a host calls the engine before other hosts
+   * know of the attempt, so the request may have run without a known attempt.
    */
   mayHaveRun: boolean;
 }
 
-/** Whether a run begins here, or goes on with what a lost host may have run. */
+/**
+ * Whether a run begins on this host or continues a request that a lost host may
+ * have run.
+ */
 export type RunOrigin = "new" | "taken_over";
 
-/** Whether a chat request of a service may run twice. */
+/** Whether a chat request to a service may run twice. */
 export function chatRepeatable(service: Service): boolean {
   return service.calls[0]?.repeatable ?? true;
 }
 
-/** Prepares the run of an answer; `undefined` where its service is gone. */
+/**
+ * Prepares the run for an answer. Returns `undefined` if its service or
+ * workspace no longer exists or its body can't be parsed.
+ */
 export function prepareRun(
   answer: Answer,
   origin: RunOrigin,
@@ -76,18 +85,18 @@
     repeatable: chatRepeatable(service),
     avoid: new Set(),
     attempts: 0,
-    fruitless: 0,
+    failuresSinceProgress: 0,
     server: undefined,
     attempt: "",
     abort: new AbortController(),
-    moveTo: undefined,
-    moving: false,
+    migrationTarget: undefined,
+    migrating: false,
     cancelled: false,
     mayHaveRun: origin === "taken_over",
   };
 }
 
-/** What a choice needs of a chat request. */
+/** The values of a chat request that the choice of a server needs. */
 export function choiceRequest(
   request: ChatRequest,
   service: Service,
@@ -105,13 +114,13 @@
   };
 }
 
-/** Why a run finds no server. */
-export function noServerText(run: Run): string {
+/** Detail of the refusal of a run for which no server is available. */
+export function noServerDetail(run: Run): string {
   return `service ${run.service.name}: no backend server takes new work`;
 }
 
-/** An outcome that does not say "not run" once an attempt may have run. */
-export function told(
+/** Turns "not run" into "in doubt" if an earlier attempt may have run. */
+export function outcomeWithCertainty(
   run: Pick<Run, "mayHaveRun">,
   outcome: Exclude<Outcome, { readonly kind: "completed" }>,
 ): Outcome {
--- a/packages/rampswitch-entry/src/attempt/chat_runner.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_runner.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Runs chat requests to their end: chooses engines, goes on elsewhere after
- * losses and reclaims, and keeps the answer's events in order.
+ * Runs chat requests to their outcome: chooses engines, continues at another
+ * engine after losses and reclaims, and keeps the answer's events in order.
  *
  * @module
  */
@@ -32,21 +32,21 @@
 import type { BackendClient } from "./backend_client.ts";
 import type { BackendDirectory } from "../choice/backend_directory.ts";
 import { engineBody } from "../intake/chat_request.ts";
-import { abandonAttempt, moveCache } from "./engine_calls.ts";
+import { abandonAttempt, migrateCache } from "./engine_calls.ts";
 import {
   choiceRequest,
-  noServerText,
+  noServerDetail,
+  outcomeWithCertainty,
   prepareRun,
   type Run,
   type RunOrigin,
-  told,
 } from "./chat_run.ts";
 import { runEngineAttempt } from "./engine_attempt.ts";
 import { countOutcome } from "../outcome/outcome_count.ts";
 import type { RequestReplication } from "../replication/request_replication.ts";
 import type { RetryDecider } from "../admission/retry_decider.ts";
 
-/** How a runner is made. */
+/** Services that a runner uses. */
 export interface ChatRunnerOptions {
   readonly self: HostId;
   readonly directory: BackendDirectory;
@@ -62,7 +62,7 @@
 
 const NO_SERVER_RETRY_MILLISECONDS = 1_000;
 const MAXIMUM_ATTEMPTS = 1_000;
-const SERVER_WAIT_MILLISECONDS = 250;
+const SERVER_POLL_INTERVAL_MILLISECONDS = 250;
 
 /** Runs chat requests on one host. */
 export class ChatRunner {
@@ -74,28 +74,34 @@
     this.#options = options;
   }
 
-  /** Requests that run here. */
+  /** Number of requests that run on this host. */
   get running(): number {
     return this.#runs.size;
   }
 
-  /** Runs an answer to its end and records it. */
+  /** Runs the request of an answer to its outcome and records the outcome. */
   async run(answer: Answer, origin: RunOrigin): Promise<void> {
     if (this.#runs.has(answer.envelope.id)) return;
     const run = prepareRun(answer, origin, this.#options.routing());
     if (run === undefined) {
-      const gone = refused("unknown_service", "service or workspace is gone");
-      this.#end(answer, told({ mayHaveRun: origin === "taken_over" }, gone));
+      const removed = refused(
+        "unknown_service",
+        "service or workspace is gone",
+      );
+      this.#end(
+        answer,
+        outcomeWithCertainty({ mayHaveRun: origin === "taken_over" }, removed),
+      );
       return;
     }
     this.#runs.set(answer.envelope.id, run);
     this.#options.retries.started(run.service.name);
-    const outcome = await this.#attempts(run);
+    const outcome = await this.#runAttempts(run);
     this.#runs.delete(answer.envelope.id);
     this.#end(answer, outcome);
   }
 
-  /** Ends a request that nobody waits for. */
+  /** Cancels a request that no caller waits for. */
   cancel(id: string): void {
     const run = this.#runs.get(id);
     if (run === undefined || run.cancelled) return;
@@ -106,52 +112,54 @@
   }
 
   /**
-   * Lets go of all requests when the host ends: what happens to them here from
-   * now on is not how they ended, another host goes on with them.
+   * Detaches all requests when the host ends. Their later outcomes on this host
+   * are not recorded, because another host continues them.
    */
   detach(): void {
     this.#detached = true;
   }
 
-  /** Reacts to hosts that are leaving. */
+  /** Plans a migration for each run whose server is on a leaving host. */
   leaving(marks: readonly LeavingMark[]): void {
     const byHost = new Map(marks.map((mark) => [mark.host, mark]));
     [...this.#runs.values()].forEach((run) => {
       const mark = byHost.get(run.server?.host ?? "");
-      if (mark !== undefined) void this.#move(run, mark);
+      if (mark !== undefined) void this.#migrate(run, mark);
     });
   }
 
-  async #attempts(run: Run): Promise<Outcome> {
+  async #runAttempts(run: Run): Promise<Outcome> {
     const { clock } = this.#options;
-    const readAgain = await this.#readAgain(run);
-    if (readAgain?.kind === "completed") return readAgain;
+    const resumed = await this.#resumeAtEngine(run);
+    if (resumed?.kind === "completed") return resumed;
     for (let total = 0; total < MAXIMUM_ATTEMPTS; total += 1) {
       const remaining = run.answer.envelope.deadline - clock.now();
-      if (this.#detached) return LET_GO;
+      if (this.#detached) return DETACHED_OUTCOME;
       if (run.cancelled) return failed("caller_gone", "the caller went away");
-      if (remaining <= 0) return this.#tooLate(run);
-      const server = run.moveTo ?? this.#choose(run);
-      const before = run.answer.events.length;
+      if (remaining <= 0) return this.#deadlineOutcome(run);
+      const server = run.migrationTarget ?? this.#choose(run);
+      const eventsBefore = run.answer.events.length;
       const mayHaveRunBefore = run.mayHaveRun;
       if (server === undefined && run.answer.events.length > 0) {
-        await sleep(clock, SERVER_WAIT_MILLISECONDS);
+        await sleep(clock, SERVER_POLL_INTERVAL_MILLISECONDS);
         continue;
       }
       const outcome =
         server === undefined
-          ? refused("no_backend_server", noServerText(run), {
+          ? refused("no_backend_server", noServerDetail(run), {
               retryAfterMilliseconds: NO_SERVER_RETRY_MILLISECONDS,
             })
           : await this.#attemptAt(server, run, remaining);
       if (outcome.kind === "completed") return outcome;
       if (outcome.kind !== "refused_not_run") run.mayHaveRun = true;
-      if (run.moving) {
-        run.moving = false;
+      if (run.migrating) {
+        run.migrating = false;
         this.#options.metrics.count("retry", "backend_reclaimed");
       } else {
-        const madeProgress = run.answer.events.length > before;
-        run.fruitless = madeProgress ? 1 : run.fruitless + 1;
+        const madeProgress = run.answer.events.length > eventsBefore;
+        run.failuresSinceProgress = madeProgress
+          ? 1
+          : run.failuresSinceProgress + 1;
         const final = await this.#afterFailure(run, outcome, {
           remainingMilliseconds: remaining,
           madeProgress,
@@ -163,7 +171,7 @@
     return inDoubt("backend_lost", "too many attempts were lost");
   }
 
-  /** Decides on a failed attempt; returns the outcome if it was the last. */
+  /** Decides on a retry; returns the final outcome if there is none. */
   async #afterFailure(
     run: Run,
     outcome: Exclude<Outcome, { readonly kind: "completed" }>,
@@ -174,19 +182,19 @@
   ): Promise<Outcome | undefined> {
     const { retries } = this.#options;
     if (run.cancelled || !retries.mayHelp(outcome.reason)) {
-      return told(run, outcome);
+      return outcomeWithCertainty(run, outcome);
     }
     if (run.server !== undefined) run.avoid.add(run.server.name);
     const again = await retries.again(run.service.name, {
       outcome,
       repeatable: run.repeatable,
-      attempts: run.fruitless,
+      attempts: run.failuresSinceProgress,
       ...facts,
     });
-    return again ? undefined : told(run, outcome);
+    return again ? undefined : outcomeWithCertainty(run, outcome);
   }
 
-  #tooLate(run: Run): Outcome {
+  #deadlineOutcome(run: Run): Outcome {
     if (run.answer.events.length > 0) {
       return failed("backend_timeout", "the deadline passed during the answer");
     }
@@ -218,8 +226,8 @@
     const { directory, replication, self } = this.#options;
     const delivered = run.answer.events;
     run.attempts += 1;
-    run.moveTo = undefined;
-    run.moving = false;
+    run.migrationTarget = undefined;
+    run.migrating = false;
     run.server = server;
     run.attempt = `${run.answer.envelope.id}.${self}.${run.attempts}`;
     run.abort = new AbortController();
@@ -285,8 +293,8 @@
     );
   }
 
-  /** Reads on at the engine that a lost host had sent the request to. */
-  async #readAgain(run: Run): Promise<Outcome | undefined> {
+  /** Resumes the stream at the engine to which a lost host sent the request. */
+  async #resumeAtEngine(run: Run): Promise<Outcome | undefined> {
     const former = run.answer.attempt;
     const server =
       former === undefined
@@ -312,10 +320,10 @@
     return outcome;
   }
 
-  async #move(run: Run, mark: LeavingMark): Promise<void> {
+  async #migrate(run: Run, mark: LeavingMark): Promise<void> {
     const from = run.server;
     const { client, clock, directory, metrics } = this.#options;
-    if (from === undefined || run.moving || run.cancelled) return;
+    if (from === undefined || run.migrating || run.cancelled) return;
     const to = this.#choose(run);
     const remainingTokens =
       run.request.maximumTokens - run.answer.events.length;
@@ -339,12 +347,12 @@
     if (plan === "finish" || to === undefined) return;
     const { attempt } = run;
     if (plan === "move_cache") {
-      const moved = await moveCache(client, { from, to, attempt });
-      metrics.count("cache_move", moved ? "done" : "failed");
+      const imported = await migrateCache(client, { from, to, attempt });
+      metrics.count("cache_move", imported ? "done" : "failed");
     }
     if (run.attempt !== attempt || run.answer.outcome !== undefined) return;
-    run.moving = true;
-    run.moveTo = to;
+    run.migrating = true;
+    run.migrationTarget = to;
     this.#abandon(run);
     run.abort.abort();
   }
@@ -372,4 +380,4 @@
   }
 }
 
-const LET_GO = inDoubt("taken_over", "the host ended");
+const DETACHED_OUTCOME = inDoubt("taken_over", "the host ended");
--- a/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
@@ -26,9 +26,9 @@
 import { ChatRunner } from "./chat_runner.ts";
 
 const SELF = "entry-1";
-const SERVERS = 12;
-const DEADLINE = 60_000;
-/** Too short for the answer to end at the server that is reclaimed. */
+const SERVER_COUNT = 12;
+const DEADLINE_MILLISECONDS = 60_000;
+/** Too short for the answer to complete at the reclaimed server. */
 const NOTICE_MILLISECONDS = 1_000;
 const LIMITS = {
   answerBytes: 1_000_000,
@@ -40,8 +40,8 @@
 const UNREACHED = refused("connect_failed", "the server is not reached");
 
 /**
- * Servers that fail as soon as a request is sent to them, and are silent while
- * an attempt is read again; remembers the sends.
+ * Servers that fail every request sent to them at once, and send nothing while
+ * an attempt is resumed. Records the sends.
  */
 class FailingServers extends BackendClient {
   readonly sends: string[] = [];
@@ -73,7 +73,7 @@
     type: "model",
     calls: [],
     targetMilliseconds: 1_000,
-    timeoutMilliseconds: DEADLINE,
+    timeoutMilliseconds: DEADLINE_MILLISECONDS,
     weights: { cost: 1, recomputedTokens: 1 },
   },
   {
@@ -84,7 +84,7 @@
     weight: 1,
     priority: 0,
   },
-  ...Array.from({ length: SERVERS }, (_, index): Resource => ({
+  ...Array.from({ length: SERVER_COUNT }, (_, index): Resource => ({
     kind: "BackendServer",
     name: `engine-${index}`,
     labels: {},
@@ -117,12 +117,12 @@
       messages: [{ role: "user", content: "x" }],
     }),
   ),
-  deadline: DEADLINE,
+  deadline: DEADLINE_MILLISECONDS,
   streamed: true,
   fingerprint: "f",
 };
 
-/** A runner on one host whose servers all fail, and a request to run. */
+/** Creates a runner on one host whose servers all fail, and a request. */
 function newRunner(failure: CallFailure = LOST, resources = RESOURCES) {
   const clock = new ManualClock();
   const metrics = createMetrics("test", undefined);
@@ -184,36 +184,36 @@
   return { runner, answer, routing, clock, client, metrics, reclaim };
 }
 
-/** Lets all that is ready run. */
+/** Waits until all pending callbacks have run. */
 function settle(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Passes more waits than the limit of attempts allows; acts in each. */
-async function passWaits(
+/** Advances through more waits than the attempt limit allows; acts in each. */
+async function advanceThroughWaits(
   clock: ManualClock,
-  inWait: () => void = () => undefined,
+  duringWait: () => void = () => undefined,
 ): Promise<void> {
-  for (let round = 0; round < SERVERS; round += 1) {
+  for (let round = 0; round < SERVER_COUNT; round += 1) {
     await settle();
-    inWait();
+    duringWait();
     clock.advance(RETRY_LIMITS.longestWaitMilliseconds);
   }
 }
 
-// An engine is lost, and while the request waits for its next attempt the
-// notice comes that the engine's host is reclaimed, as it does for a server of
-// a reclaimed data hall. There is no attempt left to move. If the notice starts
-// a move all the same, the next attempt's failure is taken for its end: that
-// failure needs no budget, counts against no limit and is followed at once by
-// another send. With a notice in each wait, a request is sent about twice as
-// often as the limit allows, outside of the budget that bounds retries. The same
-// happens after a move away from an attempt that was only read again.
+// Guards against sends beyond the retry limit. An engine is lost, and the notice
+// that its host is reclaimed arrives while the request waits for its next
+// attempt, for example in a reclaimed data hall. There is no attempt to migrate.
+// If the notice starts a migration anyway, the next attempt's failure is taken
+// for the end of the migration: it uses no retry budget, counts against no limit
+// and is followed at once by another send. With a notice in each wait, a request
+// is sent about twice as often as the limit allows, outside the retry budget.
+// The same happens after a migration from an attempt that was only resumed.
 describe("a reclaim notice while no attempt was sent", () => {
   test("leaves the limit and the budget of retries in force", async () => {
     const { runner, answer, clock, client, metrics, reclaim } = newRunner();
     const run = runner.run(answer, "new");
-    await passWaits(clock, () => {
+    await advanceThroughWaits(clock, () => {
       const server = client.sends.at(-1);
       if (answer.outcome === undefined && server !== undefined) reclaim(server);
     });
@@ -225,25 +225,26 @@
     expect(totals["retry.backend_reclaimed"]).toBeUndefined();
   });
 
-  test("ends the reading of a former attempt and no more", async () => {
+  test("ends only the resumed stream of a former attempt", async () => {
     const { runner, answer, clock, client, reclaim } = newRunner();
     answer.attempt = { attempt: "r1.a.entry-2.1", server: "engine-0" };
     const run = runner.run(answer, "new");
     await settle();
     reclaim("engine-0");
-    await passWaits(clock);
+    await advanceThroughWaits(clock);
     await run;
     expect(client.sends).toHaveLength(RETRY_LIMITS.attempts);
   });
 });
 
-// A host tells the holders of a slot where it sends a request, and calls the
-// engine without awaiting that they know. If it is lost in between, the slot's
-// next primary has the request without an attempt, although an engine may run
-// it. When the request then finds no server, or is late, an outcome from the
-// attempts made here alone says "not run" of a request that may have run.
+// A host reports to the holders of a slot where it sends a request, and calls the
+// engine without waiting for their acknowledgement. If the host is lost in
+// between, the slot's next primary has the request without an attempt, although
+// an engine may run it. If no server is available or the deadline has passed, an
+// outcome based only on the new primary's own attempts is "not run", although
+// the request may have run.
 describe("a request taken over without a known attempt", () => {
-  /** Takes the request over from a lost host and runs it to its end. */
+  /** Takes the request over from a lost host and runs it to its outcome. */
   async function takeOver(at: number, resources = RESOURCES) {
     const { runner, answer, routing, clock, metrics } = newRunner(
       UNREACHED,
@@ -264,7 +265,7 @@
       routing: () => routing,
       trusts: () => false,
     });
-    await passWaits(clock);
+    await advanceThroughWaits(clock);
     return answer.outcome?.kind;
   }
 
@@ -273,12 +274,14 @@
   });
 
   test("is in doubt when its deadline has passed", async () => {
-    expect(await takeOver(DEADLINE)).toBe("in_doubt");
+    expect(await takeOver(DEADLINE_MILLISECONDS)).toBe("in_doubt");
   });
 
   test("is in doubt when its workspace was removed", async () => {
-    const rest = RESOURCES.filter(({ kind }) => kind !== "Workspace");
-    expect(await takeOver(0, rest)).toBe("in_doubt");
+    const withoutWorkspaces = RESOURCES.filter(
+      ({ kind }) => kind !== "Workspace",
+    );
+    expect(await takeOver(0, withoutWorkspaces)).toBe("in_doubt");
   });
 });
 
@@ -286,7 +289,7 @@
   test("is refused when no server is reached", async () => {
     const { runner, answer, clock } = newRunner(UNREACHED);
     const run = runner.run(answer, "new");
-    await passWaits(clock);
+    await advanceThroughWaits(clock);
     await run;
     expect(answer.outcome).toMatchObject(UNREACHED);
   });
--- a/packages/rampswitch-entry/src/attempt/engine_attempt.ts
+++ b/packages/rampswitch-entry/src/attempt/engine_attempt.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One attempt of a chat request at one engine: sends it, or reads it again,
- * and hands on its tokens in order.
+ * One attempt of a chat request at one engine: sends the request, or resumes the
+ * stream of a running attempt, and delivers the tokens in order.
  *
  * @module
  */
@@ -13,31 +13,31 @@
 import { readEngineEvent } from "../intake/chat_request.ts";
 import { EventStreamParser } from "./event_stream.ts";
 
-/** An attempt to run. */
+/** An attempt to send or to resume. */
 export interface EngineAttempt {
   readonly server: BackendServer;
   readonly attempt: string;
   readonly requestId: string;
   readonly priority: number;
   readonly timeoutMilliseconds: number;
-  /** Number of the first token that is wanted. */
+  /** Index of the first token to deliver. */
   readonly firstToken: number;
-  /** Body to send; absent to read a running attempt again. */
+  /** Body to send; `undefined` to resume the stream of a running attempt. */
   readonly body: Buffer | undefined;
   readonly signal: AbortSignal;
 }
 
-/** What an attempt tells while it runs. */
+/** Callbacks of an attempt while it runs. */
 export interface AttemptListener {
-  /** Tokens came, in order; resolves once they are taken in. */
+  /** Receives tokens in order; resolves once they are processed. */
   tokens(first: number, texts: readonly string[]): Promise<void>;
-  /** The engine said that it is leaving. */
+  /** The engine advertised that it is leaving. */
   leaving(): void;
 }
 
-const REFUSED_STATUS = 503;
+const REFUSAL_STATUS = 503;
 
-/** Runs an attempt to its end. */
+/** Runs an attempt to its outcome. */
 export async function runEngineAttempt(
   client: BackendClient,
   attempt: EngineAttempt,
@@ -76,10 +76,10 @@
   { server }: EngineAttempt,
 ): Promise<Outcome> {
   await reply.body.dump().catch(() => undefined);
-  const told =
+  const reportsNotRun =
     reply.headers["x-not-run"] === "true" && server.contract.tellsNotRun;
   const detail = `backend server ${server.name}: status ${reply.statusCode}`;
-  return told && reply.statusCode === REFUSED_STATUS
+  return reportsNotRun && reply.statusCode === REFUSAL_STATUS
     ? refused("backend_refused", detail)
     : failed("backend_error", detail);
 }
@@ -95,7 +95,7 @@
   const { server } = attempt;
   const parser = new EventStreamParser();
   const decoder = new TextDecoder();
-  const nonsense = failed(
+  const malformed = failed(
     "backend_nonsense",
     `backend server ${server.name}: bytes that are not its protocol`,
   );
@@ -105,14 +105,14 @@
       const events = parser.push(
         decoder.decode(chunk as Uint8Array, { stream: true }),
       );
-      if (events === undefined) return nonsense;
+      if (events === undefined) return malformed;
       const read = events.map(({ id, data }) => readEngineEvent(id, data));
       const tokens = read.flatMap((event) =>
         event.kind === "token" && event.index >= next ? [event] : [],
       );
       const ordered = tokens.every(({ index }, at) => index === next + at);
       if (!ordered || read.some(({ kind }) => kind === "nonsense")) {
-        return nonsense;
+        return malformed;
       }
       const repeated =
         read.filter(({ kind }) => kind === "token").length - tokens.length;
@@ -131,14 +131,14 @@
       }
     }
   } catch {
-    return lost(server);
+    return lostOutcome(server);
   }
   return next === attempt.firstToken && !attempt.signal.aborted
-    ? nonsense
-    : lost(server);
+    ? malformed
+    : lostOutcome(server);
 }
 
-function lost(server: BackendServer): Outcome {
+function lostOutcome(server: BackendServer): Outcome {
   return inDoubt(
     "backend_lost",
     `backend server ${server.name}: connection ended before the answer did`,
--- a/packages/rampswitch-entry/src/attempt/engine_calls.ts
+++ b/packages/rampswitch-entry/src/attempt/engine_calls.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Calls to engines beside the attempts themselves.
+ * Calls to engines other than attempts: cache migration and abandonment.
  *
  * @module
  */
@@ -9,20 +9,20 @@
 import type { BackendServer } from "rampswitch-types";
 import type { BackendClient } from "./backend_client.ts";
 
-/** A move of KV cache between two engines. */
-export interface CacheMove {
+/** A migration of KV cache between two engines. */
+export interface CacheMigration {
   readonly from: BackendServer;
   readonly to: BackendServer;
-  /** Attempt at `from` whose cache is moved. */
+  /** Attempt at `from` whose cache is migrated. */
   readonly attempt: string;
 }
 
-/** Lets an engine import the cache of an attempt; tells whether it did. */
-export async function moveCache(
+/** Makes an engine import an attempt's cache; returns whether it succeeded. */
+export async function migrateCache(
   client: BackendClient,
-  move: CacheMove,
+  migration: CacheMigration,
 ): Promise<boolean> {
-  const { from, to, attempt } = move;
+  const { from, to, attempt } = migration;
   const reply = await client.call(to.address, {
     method: "POST",
     path: "/v1/kv",
@@ -36,7 +36,7 @@
   return reply.value.statusCode === 200;
 }
 
-/** Tells an engine that nobody reads an attempt any more. */
+/** Notifies an engine that an attempt is abandoned; failures are ignored. */
 export async function abandonAttempt(
   client: BackendClient,
   server: BackendServer,
--- a/packages/rampswitch-entry/src/attempt/event_stream.ts
+++ b/packages/rampswitch-entry/src/attempt/event_stream.ts
@@ -1,31 +1,31 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Reading server-sent events from an engine, within a limit.
+ * Parses server-sent events from an engine, up to a maximum event size.
  *
  * @module
  */
 
-/** One event of a stream. */
+/** One server-sent event. */
 export interface StreamEvent {
   readonly id: string | undefined;
   readonly data: string;
 }
 
-const MAXIMUM_EVENT_BYTES = 256 * 1024;
+const MAXIMUM_EVENT_CHARACTERS = 256 * 1024;
 
-/** Cuts chunks of text into events. */
+/** Splits chunks of text into events. */
 export class EventStreamParser {
-  #rest = "";
+  #incomplete = "";
 
   /**
-   * Takes in a chunk and returns the events that it completes; `undefined` for
-   * an event that is too large to be one.
+   * Adds a chunk and returns the events that it completes. Returns `undefined`
+   * if an incomplete event exceeds the maximum size.
    */
   push(chunk: string): readonly StreamEvent[] | undefined {
-    const parts = (this.#rest + chunk).split(/\r?\n\r?\n/);
-    this.#rest = parts.pop() ?? "";
-    if (this.#rest.length > MAXIMUM_EVENT_BYTES) return undefined;
+    const parts = (this.#incomplete + chunk).split(/\r?\n\r?\n/);
+    this.#incomplete = parts.pop() ?? "";
+    if (this.#incomplete.length > MAXIMUM_EVENT_CHARACTERS) return undefined;
     return parts.map(parseEvent);
   }
 }
--- a/packages/rampswitch-entry/src/attempt/http_forward.ts
+++ b/packages/rampswitch-entry/src/attempt/http_forward.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Passing HTTP requests and answers through, with back pressure.
+ * Forwards HTTP requests and answers, with back pressure.
  *
  * @module
  */
@@ -10,35 +10,35 @@
 import { HOP_BY_HOP_HEADERS } from "rampswitch-utils";
 import type { BackendReply } from "./backend_client.ts";
 
-/** Headers of a call that passes through, with some added. */
-export type PassedHeaders = Readonly<
+/** Headers of a forwarded request or answer, with some added. */
+export type ForwardedHeaders = Readonly<
   Record<string, string | readonly string[]>
 >;
 
-/** Headers to pass on: none that concern this connection only. */
+/** Headers to forward: all but hop-by-hop headers and those in `drop`. */
 export function passedHeaders(
   headers: IncomingHttpHeaders,
   options: {
     readonly drop?: readonly string[];
     readonly add?: Readonly<Record<string, string>>;
   } = {},
-): PassedHeaders {
-  const named = String(headers.connection ?? "")
+): ForwardedHeaders {
+  const connectionHeaders = String(headers.connection ?? "")
     .split(",")
     .map((name) => name.trim().toLowerCase());
-  const dropped = new Set([...named, ...(options.drop ?? [])]);
-  const kept = Object.entries(headers).flatMap(([name, value]) =>
+  const dropped = new Set([...connectionHeaders, ...(options.drop ?? [])]);
+  const forwarded = Object.entries(headers).flatMap(([name, value]) =>
     value === undefined || HOP_BY_HOP_HEADERS.has(name) || dropped.has(name)
       ? []
       : [[name, value] as const],
   );
-  return { ...Object.fromEntries(kept), ...options.add };
+  return { ...Object.fromEntries(forwarded), ...options.add };
 }
 
 /**
- * Streams an answer to the caller. Resolves to false where it broke off; the
- * caller's connection is then closed, so that it cannot take a part for the
- * whole.
+ * Streams an answer to the caller. Resolves to false if the answer broke off.
+ * The caller's connection is then closed, so that the caller can't mistake a
+ * partial answer for a complete one.
  */
 export async function passAnswer(
   reply: BackendReply,
--- a/packages/rampswitch-entry/src/attempt/mod.ts
+++ b/packages/rampswitch-entry/src/attempt/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Attempts at backend servers and the runs that they belong to.
+ * Runs of requests and their attempts at backend servers.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/attempt/plain_runner.ts
+++ b/packages/rampswitch-entry/src/attempt/plain_runner.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Calls of plain services: streamed through where nobody can come back for the
- * answer, kept as events where the caller gave a key.
+ * Calls of plain services. The answer to a call without an idempotency key is
+ * streamed to the caller, which can't request it again. The answer to a call
+ * with a key is retained as events.
  *
  * @module
  */
@@ -22,7 +23,7 @@
 import type { BackendClient, BackendReply } from "./backend_client.ts";
 import type { BackendDirectory } from "../choice/backend_directory.ts";
 import {
-  type PassedHeaders,
+  type ForwardedHeaders,
   passAnswer,
   passedHeaders,
 } from "./http_forward.ts";
@@ -37,17 +38,17 @@
   readonly route: Route;
   readonly requestId: string;
   readonly method: string;
-  /** Path and query behind the service's name. */
+  /** Path and query after the service's name. */
   readonly path: string;
-  readonly headers: PassedHeaders;
-  /** The body, or the caller's request where it is large or of unknown size. */
+  readonly headers: ForwardedHeaders;
+  /** The body, or the caller's request if it is large or of unknown size. */
   readonly body: Buffer | IncomingMessage | undefined;
   readonly repeatable: boolean;
-  /** Milliseconds since the epoch. */
+  /** In milliseconds since the epoch. */
   readonly deadline: number;
 }
 
-/** How a runner is made. */
+/** Services that a runner uses. */
 export interface PlainRunnerOptions {
   readonly directory: BackendDirectory;
   readonly client: BackendClient;
@@ -61,9 +62,9 @@
 const NO_SERVER_RETRY_MILLISECONDS = 1_000;
 const ASSUMED_TOKENS = 1;
 const MAXIMUM_ATTEMPTS = 16;
-const REFUSED_STATUS = 503;
-const ERROR_STATUS = 500;
-const CHUNK_BYTES = 48 * 1024;
+const REFUSAL_STATUS = 503;
+const MINIMUM_ERROR_STATUS = 500;
+const MAXIMUM_PART_BYTES = 48 * 1024;
 
 /** Whether a call of a plain service may run twice. */
 export function plainRepeatable(
@@ -79,7 +80,7 @@
   );
 }
 
-interface AttemptEnd {
+interface AttemptResult {
   readonly server: BackendServer;
   readonly reply: BackendReply | undefined;
   readonly outcome: ProblemOutcome | undefined;
@@ -95,30 +96,30 @@
     this.#options = options;
   }
 
-  /** Calls in progress. */
+  /** Number of calls in progress. */
   get running(): number {
     return this.#running;
   }
 
-  /** Lets go of all calls when the host ends; see the chat runner. */
+  /** Detaches all calls when the host ends; see the chat runner. */
   detach(): void {
     this.#detached = true;
   }
 
   /** Runs a call and streams its answer to the caller. */
-  async pass(
+  async runStreamed(
     call: PlainCall,
     response: ServerResponse,
   ): Promise<ProblemOutcome | undefined> {
     this.#running += 1;
     try {
-      const end = await this.#attempts(call);
+      const end = await this.#runAttempts(call);
       const { reply, server, outcome } = end;
       if (reply === undefined || server === undefined) return outcome;
       const whole = await passAnswer(reply, response, {
         "x-request-id": call.requestId,
       });
-      this.#ended(server, reply.statusCode >= ERROR_STATUS || !whole);
+      this.#ended(server, reply.statusCode >= MINIMUM_ERROR_STATUS || !whole);
       this.#options.metrics.count("outcome", whole ? "completed" : "cut");
       return undefined;
     } finally {
@@ -126,10 +127,10 @@
     }
   }
 
-  /** Runs a call and keeps its answer: its head, then its body in parts. */
-  async keep(call: PlainCall, answer: Answer): Promise<void> {
+  /** Runs a call and retains its answer: the head, then the body in parts. */
+  async runRetained(call: PlainCall, answer: Answer): Promise<void> {
     this.#running += 1;
-    const outcome = await this.#keep(call, answer);
+    const outcome = await this.#retainAnswer(call, answer);
     this.#running -= 1;
     if (this.#detached) return;
     countOutcome(this.#options.metrics, outcome);
@@ -137,9 +138,9 @@
     answer.end(outcome);
   }
 
-  async #keep(call: PlainCall, answer: Answer): Promise<Outcome> {
+  async #retainAnswer(call: PlainCall, answer: Answer): Promise<Outcome> {
     const { replication } = this.#options;
-    const { reply, server, outcome } = await this.#attempts(call);
+    const { reply, server, outcome } = await this.#runAttempts(call);
     if (reply === undefined || server === undefined) {
       return outcome ?? failed("backend_error", "no answer");
     }
@@ -150,18 +151,18 @@
     try {
       await replication.progressed(answer, 0, [head]);
       for await (const chunk of reply.body) {
-        const parts = cut(chunk as Buffer);
+        const parts = encodeParts(chunk as Buffer);
         await replication.progressed(answer, answer.events.length, parts);
       }
     } catch {
       this.#ended(server, true);
       return failed("backend_lost", `backend server ${server.name}: cut off`);
     }
-    this.#ended(server, reply.statusCode >= ERROR_STATUS);
+    this.#ended(server, reply.statusCode >= MINIMUM_ERROR_STATUS);
     return { kind: "completed" };
   }
 
-  async #attempts(call: PlainCall): Promise<Partial<AttemptEnd>> {
+  async #runAttempts(call: PlainCall): Promise<Partial<AttemptResult>> {
     const { clock, retries } = this.#options;
     const avoid = new Set<string>();
     let mayHaveRun = false;
@@ -171,22 +172,22 @@
       const remaining = call.deadline - clock.now();
       const end =
         remaining <= 0
-          ? lateEnd(mayHaveRun)
+          ? deadlineEnd(mayHaveRun)
           : await this.#attempt(call, avoid, { attempts, remaining });
       const { outcome, server } = end;
       if (outcome === undefined) return end;
       const mayHaveRunBefore = mayHaveRun;
       if (outcome.kind !== "refused_not_run") mayHaveRun = true;
-      const told = server === undefined ? (last ?? outcome) : outcome;
-      const final: Partial<AttemptEnd> = {
+      const latest = server === undefined ? (last ?? outcome) : outcome;
+      const final: Partial<AttemptResult> = {
         outcome:
-          mayHaveRun && told.kind === "refused_not_run"
-            ? inDoubt("backend_lost", told.detail)
-            : told,
+          mayHaveRun && latest.kind === "refused_not_run"
+            ? inDoubt("backend_lost", latest.detail)
+            : latest,
       };
       last = outcome;
-      const over = server === undefined || consumed(call);
-      if (over || !retries.mayHelp(outcome.reason)) return final;
+      const isLast = server === undefined || isBodyConsumed(call);
+      if (isLast || !retries.mayHelp(outcome.reason)) return final;
       avoid.add(server.name);
       const again = await retries.again(call.service.name, {
         outcome,
@@ -204,7 +205,7 @@
     call: PlainCall,
     avoid: ReadonlySet<string>,
     options: { readonly attempts: number; readonly remaining: number },
-  ): Promise<Partial<AttemptEnd>> {
+  ): Promise<Partial<AttemptResult>> {
     const { directory, client } = this.#options;
     const server = this.#choose(call, avoid);
     if (server === undefined) {
@@ -237,18 +238,18 @@
       this.#ended(server, true);
       return { server, outcome: reply.error };
     }
-    return await this.#judge(server, reply.value);
+    return await this.#evaluateReply(server, reply.value);
   }
 
-  async #judge(
+  async #evaluateReply(
     server: BackendServer,
     reply: BackendReply,
-  ): Promise<Partial<AttemptEnd>> {
+  ): Promise<Partial<AttemptResult>> {
     if (reply.headers["x-leaving"] === "true") {
       this.#options.directory.saidLeaving(server);
     }
     const notRun =
-      reply.statusCode === REFUSED_STATUS &&
+      reply.statusCode === REFUSAL_STATUS &&
       reply.headers["x-not-run"] === "true" &&
       server.contract.tellsNotRun;
     if (!notRun) return { server, reply };
@@ -279,7 +280,7 @@
   }
 }
 
-function lateEnd(mayHaveRun: boolean): Partial<AttemptEnd> {
+function deadlineEnd(mayHaveRun: boolean): Partial<AttemptResult> {
   const detail = "the deadline passed";
   return {
     outcome: mayHaveRun
@@ -288,33 +289,33 @@
   };
 }
 
-/** Whether the caller's body can't be sent a second time. */
-function consumed(call: PlainCall): boolean {
+/** Whether the body is a stream, which can't be sent a second time. */
+function isBodyConsumed(call: PlainCall): boolean {
   return call.body !== undefined && !Buffer.isBuffer(call.body);
 }
 
-/** Parts of a body as text, small enough for one event each. */
-function cut(chunk: Buffer): readonly string[] {
-  const parts = Math.ceil(chunk.length / CHUNK_BYTES);
+/** Encodes a chunk of a body as text parts, each small enough for one event. */
+function encodeParts(chunk: Buffer): readonly string[] {
+  const parts = Math.ceil(chunk.length / MAXIMUM_PART_BYTES);
   return Array.from({ length: parts }, (_, part) =>
     chunk
-      .subarray(part * CHUNK_BYTES, (part + 1) * CHUNK_BYTES)
+      .subarray(part * MAXIMUM_PART_BYTES, (part + 1) * MAXIMUM_PART_BYTES)
       .toString("base64"),
   );
 }
 
-/** Head of a kept answer, as its first event tells it. */
-export interface KeptHead {
+/** Status and headers of a retained answer, stored as its first event. */
+export interface RetainedHead {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
 }
 
-/** Reads the head of a kept answer. */
-export function keptHead(event: string): KeptHead {
-  return JSON.parse(event) as KeptHead;
+/** Reads the head of a retained answer. */
+export function keptHead(event: string): RetainedHead {
+  return JSON.parse(event) as RetainedHead;
 }
 
-/** Reads a part of a kept answer's body. */
+/** Reads a part of a retained answer's body. */
 export function keptPart(event: string): Buffer {
   return Buffer.from(event, "base64");
 }
--- a/packages/rampswitch-entry/src/intake/administration_server.ts
+++ b/packages/rampswitch-entry/src/intake/administration_server.ts
@@ -53,10 +53,10 @@
 import { sendProblem } from "./problem.ts";
 import type { SlotService } from "../replication/slot_service.ts";
 
-/** Roles of operators; `change` includes `read`. */
+/** Role of an operator; `change` includes `read`. */
 export type OperatorRole = Settings["operators"][number]["role"];
 
-/** How the server is made. */
+/** Settings and services that the administration server uses. */
 export interface AdministrationOptions {
   readonly self: () => Host;
   readonly operators: Settings["operators"];
@@ -89,7 +89,7 @@
   readonly handle: (call: Call) => Promise<Result<Answer, RefusedNotRun>>;
 }
 
-const MAXIMUM_BODY = 1024 * 1024;
+const MAXIMUM_BODY_BYTES = 1024 * 1024;
 const DEFAULT_EXPECTED_TOKENS = 256;
 
 const CHANGE_STATUS: Readonly<Record<ChangeOutcome["kind"], number>> = {
@@ -99,7 +99,7 @@
   unknown: 202,
 };
 
-/** The server for operators. */
+/** HTTP server of the administration API. */
 export class AdministrationServer {
   readonly #options: AdministrationOptions;
   readonly #routes: readonly Route[];
@@ -111,36 +111,36 @@
         method: "GET",
         path: /^\/v1\/resources$/,
         role: "read",
-        handle: (call) => Promise.resolve(this.#resources(call)),
+        handle: (call) => Promise.resolve(this.#listResources(call)),
       },
       {
         method: "POST",
         path: /^\/v1\/changes$/,
         role: "change",
-        handle: (call) => this.#change(call),
+        handle: (call) => this.#applyChange(call),
       },
       {
         method: "GET",
         path: /^\/v1\/status$/,
         role: "read",
-        handle: () => Promise.resolve(ok(this.#status())),
+        handle: () => Promise.resolve(ok(this.#readStatus())),
       },
       {
         method: "GET",
         path: /^\/v1\/revisions\/\d+$/,
         role: "read",
-        handle: (call) => Promise.resolve(ok(this.#revision(call))),
+        handle: (call) => Promise.resolve(ok(this.#readRevision(call))),
       },
       {
         method: "POST",
         path: /^\/v1\/explain$/,
         role: "read",
-        handle: (call) => this.#explain(call),
+        handle: (call) => this.#explainChoice(call),
       },
     ];
   }
 
-  /** Starts to listen. */
+  /** Starts to listen at an address. */
   listen(address: string): Promise<Listening> {
     const server = createServer((request, response) => {
       response.on("error", () => undefined);
@@ -166,7 +166,7 @@
               `${request.method} ${url.pathname}: no such call`,
             ),
           )
-        : await this.#asOperator(route, request, url);
+        : await this.#handleAuthorized(route, request, url);
     if (answer.isErr) {
       this.#options.metrics.count(
         "administration_refusal",
@@ -181,7 +181,7 @@
     response.end(JSON.stringify(answer.value.body));
   }
 
-  async #asOperator(
+  async #handleAuthorized(
     route: Route,
     request: IncomingMessage,
     url: URL,
@@ -190,10 +190,10 @@
       /^Bearer /i,
       "",
     );
-    const found = this.#options.operators.filter(({ tokenHash }) =>
+    const matches = this.#options.operators.filter(({ tokenHash }) =>
       secretMatches(token, tokenHash),
     );
-    const [operator] = found;
+    const [operator] = matches;
     if (operator === undefined) {
       return Result.err(
         refused("unauthorized", "authorization, expected an operator's token"),
@@ -209,7 +209,7 @@
       : await route.handle({ request, url, operator: operator.name });
   }
 
-  #resources({ url }: Call): Result<Answer, RefusedNotRun> {
+  #listResources({ url }: Call): Result<Answer, RefusedNotRun> {
     const kind = url.searchParams.get("kind");
     const name = url.searchParams.get("name");
     const known = RESOURCE_KINDS.find((candidate) => candidate === kind);
@@ -226,12 +226,14 @@
       .filter(({ resource }) => known === undefined || resource.kind === known)
       .filter(({ resource }) => name === null || resource.name === name)
       .toSorted((left, right) =>
-        shownOrder(left.resource) < shownOrder(right.resource) ? -1 : 1,
+        resourceSortKey(left.resource) < resourceSortKey(right.resource)
+          ? -1
+          : 1,
       );
     return ok({ revision: state.revision, resources });
   }
 
-  async #change(call: Call): Promise<Result<Answer, RefusedNotRun>> {
+  async #applyChange(call: Call): Promise<Result<Answer, RefusedNotRun>> {
     const body = await jsonBody(call.request);
     const request = body.andThen((value) => readChange(value, call.operator));
     if (request.isErr) return Result.err(request.error);
@@ -239,7 +241,7 @@
     return Result.ok({ status: CHANGE_STATUS[outcome.kind], body: outcome });
   }
 
-  #status(): unknown {
+  #readStatus(): unknown {
     const { configuration, slots, directory, book, clock, metrics } =
       this.#options;
     const membership = this.#options.membership;
@@ -277,8 +279,8 @@
     };
   }
 
-  #revision({ url }: Call): unknown {
-    const wanted = Number(url.pathname.split("/").at(-1));
+  #readRevision({ url }: Call): unknown {
+    const requested = Number(url.pathname.split("/").at(-1));
     const { configuration, self } = this.#options;
     const members = [...this.#options.membership.members.values()];
     const hosts = [
@@ -287,46 +289,46 @@
         name: digest.host.name,
         revision: digest.revision,
       })),
-    ].map((host) => ({ ...host, inForce: host.revision >= wanted }));
+    ].map((host) => ({ ...host, inForce: host.revision >= requested }));
     return {
-      revision: wanted,
+      revision: requested,
       inForceEverywhere: hosts.every(({ inForce }) => inForce),
       revisionHere: configuration.state.revision,
       takesNewWork:
         this.#options.state() === "serving" &&
         TAKES_NEW_WORK[this.#options.freshness()],
-      inForceHereSince: configuration.inForceSince(wanted),
+      inForceHereSince: configuration.inForceSince(requested),
       hosts,
     };
   }
 
-  async #explain(call: Call): Promise<Result<Answer, RefusedNotRun>> {
+  async #explainChoice(call: Call): Promise<Result<Answer, RefusedNotRun>> {
     const body = await jsonBody(call.request);
     if (body.isErr) return Result.err(body.error);
-    const question = body.value as {
+    const query = body.value as {
       readonly service?: string;
       readonly workspace?: string;
       readonly prompt?: string;
       readonly tokens?: number;
     };
     const { routing } = this.#options.configuration;
-    const service = routing.services.get(question.service ?? "");
-    const workspace = routing.workspaces.get(question.workspace ?? "");
+    const service = routing.services.get(query.service ?? "");
+    const workspace = routing.workspaces.get(query.workspace ?? "");
     if (service === undefined || workspace === undefined) {
       return Result.err(
         refused(
           "bad_request",
-          `service ${question.service}, workspace ${question.workspace}: ` +
+          `service ${query.service}, workspace ${query.workspace}: ` +
             "expected names of both",
         ),
       );
     }
     const route = routing.route(service, workspace);
-    const words = promptWords(question.prompt ?? "");
+    const words = promptWords(query.prompt ?? "");
     const choice = this.#options.directory.choose(route, {
       blocks: blockHashes(words, BLOCK_TOKENS),
       promptTokens: words.length,
-      expectedTokens: question.tokens ?? DEFAULT_EXPECTED_TOKENS,
+      expectedTokens: query.tokens ?? DEFAULT_EXPECTED_TOKENS,
       targetMilliseconds: service.targetMilliseconds,
       weights: service.weights,
       avoid: new Set(),
@@ -343,7 +345,7 @@
   }
 }
 
-function shownOrder(resource: Resource): string {
+function resourceSortKey(resource: Resource): string {
   return `${RESOURCE_KINDS.indexOf(resource.kind)} ${resource.name}`;
 }
 
@@ -354,12 +356,12 @@
 async function jsonBody(
   request: IncomingMessage,
 ): Promise<Result<unknown, RefusedNotRun>> {
-  const body = await readBody(request, MAXIMUM_BODY);
+  const body = await readBody(request, MAXIMUM_BODY_BYTES);
   return body
     .mapErr((error) =>
       refused(
         error === "too_large" ? "body_too_large" : "bad_request",
-        `body, expected at most ${MAXIMUM_BODY} bytes, whole`,
+        `body, expected at most ${MAXIMUM_BODY_BYTES} bytes, whole`,
       ),
     )
     .andThen((bytes) =>
@@ -379,16 +381,16 @@
     readonly edits?: unknown;
   };
   if (typeof changeId !== "string" || !/^[\w-]{8,64}$/.test(changeId)) {
-    return wrong("changeId, expected 8 to 64 letters, digits and hyphens");
+    return badChange("changeId, expected 8 to 64 letters, digits and hyphens");
   }
   if (typeof baseRevision !== "number" || !Number.isInteger(baseRevision)) {
-    return wrong("baseRevision, expected an integer");
+    return badChange("baseRevision, expected an integer");
   }
-  if (!Array.isArray(edits)) return wrong("edits, expected a list");
+  if (!Array.isArray(edits)) return badChange("edits, expected a list");
   const read = edits.map(readEdit);
   const problems = read.flatMap((edit) => (edit.isErr ? [edit.error] : []));
   return problems.length > 0
-    ? wrong(problems.join("; "))
+    ? badChange(problems.join("; "))
     : Result.ok({
         changeId,
         operator,
@@ -419,6 +421,6 @@
     : Result.err("edit, expected a put of a resource or a delete by name");
 }
 
-function wrong(detail: string): Result<ChangeRequest, RefusedNotRun> {
+function badChange(detail: string): Result<ChangeRequest, RefusedNotRun> {
   return Result.err(refused("bad_request", detail));
 }
--- a/packages/rampswitch-entry/src/intake/caller_request.ts
+++ b/packages/rampswitch-entry/src/intake/caller_request.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What a caller's HTTP request says besides its body.
+ * Reads the headers of a caller's HTTP request.
  *
  * @module
  */
@@ -11,23 +11,23 @@
 import { refused, type RefusedNotRun, type Workspace } from "rampswitch-types";
 import { sha256 } from "rampswitch-utils";
 
-/** Header by which a caller makes retries safe. */
-export const KEY_HEADER = "idempotency-key";
+/** Header with the caller's idempotency key, which makes retries safe. */
+export const IDEMPOTENCY_KEY_HEADER = "idempotency-key";
 
-/** Header that counts passes between entry hosts. */
+/** Header that counts how often entry hosts forwarded the request. */
 export const HOP_HEADER = "x-rampswitch-hop";
 
 const DEADLINE_HEADER = "x-deadline-milliseconds";
 const FINISH_BY_HEADER = "x-finish-by";
-const MAXIMUM_KEY = 255;
+const MAXIMUM_KEY_CHARACTERS = 255;
 
-/** Headers of the system's own that are not passed to backend servers. */
-export const OWN_HEADERS: readonly string[] = [
+/** Headers handled by entry hosts and not forwarded to backend servers. */
+export const ENTRY_HEADERS: readonly string[] = [
   "authorization",
   "host",
   "content-length",
   "expect",
-  KEY_HEADER,
+  IDEMPOTENCY_KEY_HEADER,
   HOP_HEADER,
   DEADLINE_HEADER,
   FINISH_BY_HEADER,
@@ -35,43 +35,49 @@
   "x-attempt-id",
 ];
 
-/** A caller's request without its body. */
+/** The values read from the headers of a caller's request. */
 export interface CallerRequest {
   readonly workspace: Workspace;
-  /** The caller's key; absent where none was sent. */
+  /** Idempotency key of the caller; `undefined` if none was sent. */
   readonly key: string | undefined;
-  /** Number of the last event that the caller has; -1 for none. */
+  /** Number of the last event that the caller received; -1 for none. */
   readonly lastEvent: number;
-  /** Milliseconds until the caller's deadline; absent where none was sent. */
+  /** Milliseconds until the caller's deadline; `undefined` if none was sent. */
   readonly deadlineMilliseconds: number | undefined;
-  /** Time by which long work must be done, in milliseconds since the epoch. */
+  /** Time by which background work must end, in milliseconds since the epoch. */
   readonly finishBy: number | undefined;
-  /** Passes between entry hosts so far. */
+  /** How often entry hosts have forwarded the request so far. */
   readonly hops: number;
 }
 
-const KEYS_BY_ROUTING = new WeakMap<
+const WORKSPACES_BY_ROUTING = new WeakMap<
   RoutingTable,
   ReadonlyMap<string, Workspace>
 >();
 
-/** Reads the head of a request and finds the caller's workspace. */
+/**
+ * Reads the headers of a request and finds the caller's workspace. The error is
+ * a refusal for an unknown API key or a malformed header.
+ */
 export function readCallerRequest(
   request: IncomingMessage,
   routing: RoutingTable,
 ): Result<CallerRequest, RefusedNotRun> {
-  const workspace = workspaceOf(request, routing);
+  const workspace = findWorkspace(request, routing);
   if (workspace === undefined) {
     return Result.err(
       refused("unauthorized", "authorization, expected Bearer and a known key"),
     );
   }
-  const key = headerText(request, KEY_HEADER);
-  if (key !== undefined && (key === "" || key.length > MAXIMUM_KEY)) {
+  const key = headerText(request, IDEMPOTENCY_KEY_HEADER);
+  if (
+    key !== undefined &&
+    (key === "" || key.length > MAXIMUM_KEY_CHARACTERS)
+  ) {
     return Result.err(
       refused(
         "bad_request",
-        `${KEY_HEADER}, expected 1 to ${MAXIMUM_KEY} characters`,
+        `${IDEMPOTENCY_KEY_HEADER}, expected 1 to ${MAXIMUM_KEY_CHARACTERS} characters`,
       ),
     );
   }
@@ -81,10 +87,10 @@
     finishBy: headerNumber(request, FINISH_BY_HEADER),
     hops: headerNumber(request, HOP_HEADER),
   };
-  const wrong = Object.entries(numbers).find(
+  const malformed = Object.entries(numbers).find(
     ([, value]) => value !== undefined && !Number.isFinite(value),
   );
-  return wrong === undefined
+  return malformed === undefined
     ? Result.ok({
         workspace,
         key,
@@ -92,23 +98,29 @@
         lastEvent: numbers.lastEvent ?? -1,
         hops: numbers.hops ?? 0,
       })
-    : Result.err(refused("bad_request", `${wrong[0]}, expected a number`));
+    : Result.err(refused("bad_request", `${malformed[0]}, expected a number`));
 }
 
-/** The workspace whose key the request carries. */
-function workspaceOf(
+/** The workspace whose API key the request carries. */
+function findWorkspace(
   request: IncomingMessage,
   routing: RoutingTable,
 ): Workspace | undefined {
   const [scheme, key] = (request.headers.authorization ?? "").split(" ");
   if (scheme?.toLowerCase() !== "bearer" || key === undefined) return undefined;
-  const known = KEYS_BY_ROUTING.get(routing) ?? workspaceKeys(routing);
-  KEYS_BY_ROUTING.set(routing, known);
-  return known.get(sha256(key));
+  const workspaces =
+    WORKSPACES_BY_ROUTING.get(routing) ?? workspacesByKeyHash(routing);
+  WORKSPACES_BY_ROUTING.set(routing, workspaces);
+  return workspaces.get(sha256(key));
 }
 
-/** Workspaces by the hash of each key; a look-up tells nothing of the key. */
-function workspaceKeys(routing: RoutingTable): ReadonlyMap<string, Workspace> {
+/**
+ * Workspaces by the hash of each API key. A look-up compares hashes only, so it
+ * reveals nothing about a key.
+ */
+function workspacesByKeyHash(
+  routing: RoutingTable,
+): ReadonlyMap<string, Workspace> {
   return new Map(
     [...routing.workspaces.values()].flatMap((workspace) =>
       workspace.keyHashes.map((hash) => [hash, workspace] as const),
@@ -130,6 +142,6 @@
 ): number | undefined {
   const text = headerText(request, name);
   if (text === undefined) return undefined;
-  const last = text.split(":").at(-1) ?? "";
-  return /^\d{1,16}$/.test(last) ? Number(last) : Number.NaN;
+  const digits = text.split(":").at(-1) ?? "";
+  return /^\d{1,16}$/.test(digits) ? Number(digits) : Number.NaN;
 }
--- a/packages/rampswitch-entry/src/intake/caller_server.ts
+++ b/packages/rampswitch-entry/src/intake/caller_server.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The address for callers: chat requests, calls of plain services, answers
- * read again, and health for the balancer.
+ * HTTP server for callers: chat requests, calls of plain services, answers to
+ * earlier requests, and health checks of the load balancer.
  *
  * @module
  */
@@ -17,21 +17,25 @@
 import type { Limits } from "rampswitch-validation";
 import { readCallerRequest } from "./caller_request.ts";
 import {
-  decodedName,
+  decodePathSegment,
   type Exchange,
-  readsAgain,
+  readsEarlierAnswer,
   refuse,
   refuseUnjudged,
   REQUESTS_PATH,
 } from "./exchange.ts";
 import type { ProblemOutcome } from "./problem.ts";
-import { type IntakeOptions, takeChat, takePlain } from "./work_intake.ts";
+import {
+  handleChat,
+  handlePlainCall,
+  type IntakeOptions,
+} from "./work_intake.ts";
 
-/** How the server is made. */
+/** Settings and services that the server for callers uses. */
 export interface CallerServerOptions extends IntakeOptions {
   readonly limits: Limits;
   readonly logger: Logger;
-  /** Why no new work is taken; `undefined` where it is. */
+  /** The refusal of new work; `undefined` while new work is accepted. */
   readonly refusal: () => ProblemOutcome | undefined;
   readonly ready: () => boolean;
 }
@@ -43,15 +47,15 @@
 }
 
 const KEEP_ALIVE_MILLISECONDS = 65_000;
-const LONGEST_CHECK_MILLISECONDS = 5_000;
+const MAXIMUM_CHECK_INTERVAL_MILLISECONDS = 5_000;
 const BASE_URL = "http://entry";
 
-const CLIENT_ERRORS: Readonly<Record<string, string>> = {
+const STATUS_BY_PARSER_ERROR: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
 
-/** The server for callers. */
+/** HTTP server for callers. */
 export class CallerServer {
   readonly #options: CallerServerOptions;
   readonly #routes: readonly Route[];
@@ -62,21 +66,21 @@
       {
         method: "POST",
         path: /^\/v1\/chat\/completions$/,
-        handle: (exchange) => takeChat(exchange, options),
+        handle: (exchange) => handleChat(exchange, options),
       },
       {
         method: "GET",
         path: /^\/v1\/requests\/[^/]+$/,
-        handle: (exchange) => this.#again(exchange),
+        handle: (exchange) => this.#readAnswer(exchange),
       },
       {
         path: /^\/services\/[^/]+\//,
-        handle: (exchange) => takePlain(exchange, options),
+        handle: (exchange) => handlePlainCall(exchange, options),
       },
     ];
   }
 
-  /** Starts to listen. */
+  /** Starts to listen at an address. */
   listen(address: string): Promise<Listening> {
     const { limits, logger, metrics } = this.#options;
     const server = createServer(
@@ -86,7 +90,7 @@
         requestTimeout: limits.bodyMilliseconds,
         connectionsCheckingInterval: Math.min(
           limits.headerMilliseconds / 2,
-          LONGEST_CHECK_MILLISECONDS,
+          MAXIMUM_CHECK_INTERVAL_MILLISECONDS,
         ),
         keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
       },
@@ -112,14 +116,17 @@
     const { metrics, routing } = this.#options;
     const target = request.url ?? "/";
     if (!URL.canParse(target, BASE_URL)) {
-      const wrong = refused("bad_request", "path, expected one that parses");
-      refuse(response, wrong, { metrics });
+      const malformed = refused(
+        "bad_request",
+        "path, expected one that parses",
+      );
+      refuse(response, malformed, { metrics });
       return;
     }
     const url = new URL(target, BASE_URL);
-    const open = this.#openPaths[url.pathname];
-    if (open !== undefined) {
-      open(response);
+    const handler = this.#unauthenticatedPaths[url.pathname];
+    if (handler !== undefined) {
+      handler(response);
       return;
     }
     const caller = readCallerRequest(request, routing());
@@ -139,7 +146,9 @@
         (method ?? request.method) === request.method &&
         path.test(url.pathname),
     );
-    const refusal = readsAgain(exchange) ? undefined : this.#options.refusal();
+    const refusal = readsEarlierAnswer(exchange)
+      ? undefined
+      : this.#options.refusal();
     if (refusal !== undefined) refuseUnjudged(exchange, refusal, metrics);
     else if (route !== undefined) await route.handle(exchange);
     else {
@@ -150,12 +159,12 @@
     }
   }
 
-  async #again(exchange: Exchange): Promise<void> {
+  async #readAnswer(exchange: Exchange): Promise<void> {
     const id = exchange.url.pathname.slice(REQUESTS_PATH.length);
-    await this.#options.kept.again(exchange, decodedName(id));
+    await this.#options.kept.again(exchange, decodePathSegment(id));
   }
 
-  readonly #openPaths: Readonly<
+  readonly #unauthenticatedPaths: Readonly<
     Record<string, (response: ServerResponse) => void>
   > = {
     "/health": (response) => sendText(response, 200, "alive"),
@@ -165,10 +174,11 @@
         : sendText(response, 503, "not ready"),
   };
 
-  /** Answers what the HTTP parser could not read. */
+  /** Answers a request that the HTTP parser can't read. */
   #clientError(error: NodeJS.ErrnoException, socket: Socket): void {
     this.#options.metrics.count("refusal", "bad_request");
-    const status = CLIENT_ERRORS[error.code ?? ""] ?? "400 Bad Request";
+    const status =
+      STATUS_BY_PARSER_ERROR[error.code ?? ""] ?? "400 Bad Request";
     if (socket.writable) {
       socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\n\r\n`);
     } else socket.destroy();
--- a/packages/rampswitch-entry/src/intake/chat_request.ts
+++ b/packages/rampswitch-entry/src/intake/chat_request.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Reading and writing the chat protocol towards callers and engines.
+ * Reads and writes the chat protocol of callers and engines.
  *
  * @module
  */
@@ -9,20 +9,23 @@
 import { blockHashes, parseJson, promptWords, sha256 } from "rampswitch-utils";
 import { BLOCK_TOKENS } from "../choice/backend_directory.ts";
 
-/** What routing needs to know of a chat request. */
+/** A chat request with the values that routing needs. */
 export interface ChatRequest {
   /** Name of the service. */
   readonly model: string;
   readonly streamed: boolean;
   readonly promptTokens: number;
   readonly blocks: readonly string[];
-  /** Hash of the messages up to the caller's first; the same in each turn. */
+  /**
+   * Hash of the messages up to and including the first with the role `user`.
+   * It is the same for all requests of one conversation.
+   */
   readonly conversation: string;
-  /** Tokens of all messages but the last. */
+  /** Tokens of all messages but the last; 0 for at most two messages. */
   readonly earlierTokens: number;
-  /** Tokens to generate at most. */
+  /** Maximum number of tokens to generate. */
   readonly maximumTokens: number;
-  /** The body as it came, to be passed on. */
+  /** The body as received, to be sent to an engine. */
   readonly body: Readonly<Record<string, unknown>>;
 }
 
@@ -33,7 +36,7 @@
   readonly content?: unknown;
 }
 
-/** Reads a chat request; the error names what is wrong. */
+/** Reads a chat request; the error names the malformed field. */
 export function parseChatRequest(body: Buffer): Result<ChatRequest, string> {
   return parseJson(body.toString("utf8"))
     .mapErr((error) => `body is not JSON: ${error}`)
@@ -55,29 +58,30 @@
   if (!(messages as readonly ChatMessage[]).every(isMessage)) {
     return Result.err("messages, expected a role and a text in each");
   }
-  if (maximum !== undefined && !isCount(maximum)) {
+  if (maximum !== undefined && !isPositiveInteger(maximum)) {
     return Result.err(
       `max_tokens: ${JSON.stringify(maximum)}, expected a positive integer`,
     );
   }
-  const turns = messages as readonly ChatMessage[];
-  const words = promptWords(promptText(turns));
-  const earlier = turns.length <= 2 ? [] : turns.slice(0, -1);
+  const chatMessages = messages as readonly ChatMessage[];
+  const promptWordList = promptWords(promptText(chatMessages));
+  const earlierMessages =
+    chatMessages.length <= 2 ? [] : chatMessages.slice(0, -1);
   return Result.ok({
-    conversation: conversationOf(turns),
-    earlierTokens: promptWords(promptText(earlier)).length,
+    conversation: conversationHash(chatMessages),
+    earlierTokens: promptWords(promptText(earlierMessages)).length,
     model,
     streamed: stream === true,
-    promptTokens: words.length,
-    blocks: blockHashes(words, BLOCK_TOKENS),
+    promptTokens: promptWordList.length,
+    blocks: blockHashes(promptWordList, BLOCK_TOKENS),
     maximumTokens: maximum ?? DEFAULT_MAXIMUM_TOKENS,
     body,
   });
 }
 
-function conversationOf(turns: readonly ChatMessage[]): string {
-  const first = turns.findIndex(({ role }) => role === "user");
-  return sha256(promptText(turns.slice(0, first + 1)));
+function conversationHash(messages: readonly ChatMessage[]): string {
+  const first = messages.findIndex(({ role }) => role === "user");
+  return sha256(promptText(messages.slice(0, first + 1)));
 }
 
 function isMessage(message: ChatMessage | null): boolean {
@@ -89,23 +93,26 @@
   );
 }
 
-function isCount(value: unknown): value is number {
+function isPositiveInteger(value: unknown): value is number {
   return typeof value === "number" && Number.isInteger(value) && value > 0;
 }
 
-/** The prompt as one text, as engines read it. */
+/** The prompt as one text, in the form that engines read. */
 function promptText(messages: readonly ChatMessage[]): string {
   return messages
     .map(({ role, content }) => `${String(role)}: ${String(content)}`)
     .join("\n");
 }
 
-/** Body for an engine: always streamed, going on after delivered tokens. */
+/**
+ * Body of a request to an engine. It always asks for a stream, and for a
+ * continuation after the tokens that were delivered before.
+ */
 export function engineBody(
   request: ChatRequest,
   delivered: readonly string[],
 ): Buffer {
-  const from =
+  const continuation =
     delivered.length === 0
       ? {}
       : {
@@ -117,12 +124,12 @@
       ...request.body,
       max_tokens: maximumTokens,
       stream: true,
-      ...from,
+      ...continuation,
     }),
   );
 }
 
-/** What one event of an engine says. */
+/** One event of an engine's stream; `nonsense` is a malformed event. */
 export type EngineEvent =
   | { readonly kind: "token"; readonly index: number; readonly text: string }
   | { readonly kind: "finished" }
@@ -136,7 +143,7 @@
   }[];
 }
 
-/** Reads one event of an engine. */
+/** Reads one event of an engine's stream. */
 export function readEngineEvent(
   id: string | undefined,
   data: string,
@@ -153,7 +160,7 @@
     : { kind: "nonsense" };
 }
 
-/** One token as a caller's event. */
+/** Formats one token as a server-sent event for the caller. */
 export function callerEvent(
   id: string,
   model: string,
@@ -174,7 +181,7 @@
   return `id: ${event.index}\ndata: ${JSON.stringify(chunk)}\n\n`;
 }
 
-/** The end of a caller's stream. */
+/** Formats the last events of a caller's stream. */
 export function callerEnd(id: string, model: string): string {
   const chunk = {
     id,
@@ -185,7 +192,7 @@
   return `data: ${JSON.stringify(chunk)}\n\ndata: [DONE]\n\n`;
 }
 
-/** A whole answer. */
+/** Formats the body of an answer that is not streamed. */
 export function wholeAnswer(
   id: string,
   model: string,
--- a/packages/rampswitch-entry/src/intake/entry_listeners.ts
+++ b/packages/rampswitch-entry/src/intake/entry_listeners.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The three addresses of an entry process: for callers, peers and operators.
+ * Listeners of an entry process: for callers, for peers and for operators.
  *
  * @module
  */
@@ -18,23 +18,23 @@
 import type { ProblemOutcome } from "./problem.ts";
 import type { ProcessState } from "../process_machine.ts";
 
-/** Addresses that a process listens at. */
+/** Addresses at which an entry process listens. */
 export interface EntryAddresses {
   readonly callers: string;
   readonly peers: string;
   readonly administration: string;
 }
 
-/** What the listeners ask the process. */
-export interface ListenerQuestions {
-  /** Why no new work is taken; `undefined` where it is. */
+/** Current status of the process, as the listeners read it. */
+export interface ProcessStatus {
+  /** The refusal of new work; `undefined` while new work is accepted. */
   refusal(): ProblemOutcome | undefined;
   ready(): boolean;
   state(): ProcessState;
   freshness(): Freshness;
 }
 
-/** Listens at all three addresses. */
+/** The open listeners of an entry process; disposing closes them. */
 export class EntryListeners implements AsyncDisposable {
   readonly #owned = new Ownership();
   readonly addresses: EntryAddresses;
@@ -46,7 +46,7 @@
   /** Starts to listen; resolves once all three addresses are open. */
   static async start(
     parts: EntryParts,
-    questions: ListenerQuestions,
+    processStatus: ProcessStatus,
   ): Promise<EntryListeners> {
     const { listen } = parts.settings;
     const peers = await listenForPeers(
@@ -55,13 +55,13 @@
       parts,
     );
     const forwarding = new BackendClient();
-    const callers = await listenForCallers(parts, questions, forwarding);
+    const callers = await listenForCallers(parts, processStatus, forwarding);
     const administration = await new AdministrationServer({
       ...parts,
       self: () => parts.self,
       operators: parts.settings.operators,
-      state: () => questions.state(),
-      freshness: () => questions.freshness(),
+      state: () => processStatus.state(),
+      freshness: () => processStatus.freshness(),
     }).listen(listen.administration);
     const listeners = new EntryListeners({
       callers: callers.address,
@@ -81,7 +81,7 @@
 
 function listenForCallers(
   parts: EntryParts,
-  questions: ListenerQuestions,
+  processStatus: ProcessStatus,
   forwarding: BackendClient,
 ): Promise<Listening> {
   const { settings, membership, self, configuration } = parts;
@@ -91,22 +91,22 @@
     routing: () => configuration.routing,
     bodyBytes: settings.limits.bodyBytes,
   };
-  const hop = new PrimaryForwarding({
+  const primaryForwarding = new PrimaryForwarding({
     ...shared,
     client: forwarding,
     callerAddressOf: (host) => membership.find(host)?.digest.host.callerAddress,
     idleMilliseconds: settings.limits.stopMilliseconds,
   });
-  const kept = new KeptRequests({
+  const keptRequests = new KeptRequests({
     ...shared,
-    hop,
+    hop: primaryForwarding,
     trusts: (host) => membership.trusts(host),
   });
   return new CallerServer({
     ...shared,
-    kept,
+    kept: keptRequests,
     limits: settings.limits,
-    refusal: () => questions.refusal(),
-    ready: () => questions.ready(),
+    refusal: () => processStatus.refusal(),
+    ready: () => processStatus.ready(),
   }).listen(settings.listen.callers);
 }
--- a/packages/rampswitch-entry/src/intake/exchange.ts
+++ b/packages/rampswitch-entry/src/intake/exchange.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One request of a caller on its way through this host.
+ * A caller's request and its response, and the steps that all requests share.
  *
  * @module
  */
@@ -9,17 +9,20 @@
 import type { AdmissionRequest, RoutingTable } from "rampswitch-policy";
 import { refused, type Service } from "rampswitch-types";
 import { type Clock, type Metrics, readBody } from "rampswitch-utils";
-import { type CallerRequest, KEY_HEADER } from "./caller_request.ts";
+import {
+  type CallerRequest,
+  IDEMPOTENCY_KEY_HEADER,
+} from "./caller_request.ts";
 import {
   type ProblemOptions,
   type ProblemOutcome,
   sendProblem,
 } from "./problem.ts";
 
-/** Path below which answers are read again by the id of their request. */
+/** Path prefix for reading the answer to an earlier request by its id. */
 export const REQUESTS_PATH = "/v1/requests/";
 
-/** A request of a known caller. */
+/** An authenticated request and its response. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -27,7 +30,7 @@
   readonly caller: CallerRequest;
 }
 
-/** What handling a request takes from the process. */
+/** Services of the process that handling a request uses. */
 export interface ExchangeOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -35,7 +38,7 @@
   readonly bodyBytes: number;
 }
 
-/** Answers a request with a problem and counts its reason. */
+/** Answers a request with a problem document and counts the reason. */
 export function refuse(
   response: ServerResponse,
   outcome: ProblemOutcome,
@@ -47,12 +50,15 @@
   sendProblem(response, outcome, options);
 }
 
-/** Whether an exchange reads the answer to an earlier request again. */
-export function readsAgain({ url }: Pick<Exchange, "url">): boolean {
+/** Whether an exchange reads the answer to an earlier request. */
+export function readsEarlierAnswer({ url }: Pick<Exchange, "url">): boolean {
   return url.pathname.startsWith(REQUESTS_PATH);
 }
 
-/** Refuses a request whose key or id, if it has one, was not judged. */
+/**
+ * Refuses a request before its idempotency key or request id, if it has one,
+ * was looked up. An earlier send with the same key or id may have run.
+ */
 export function refuseUnjudged(
   exchange: Omit<Exchange, "caller">,
   outcome: ProblemOutcome,
@@ -61,13 +67,16 @@
   refuse(exchange.response, outcome, {
     metrics,
     earlierNotJudged:
-      exchange.request.headers[KEY_HEADER] !== undefined ||
-      readsAgain(exchange),
+      exchange.request.headers[IDEMPOTENCY_KEY_HEADER] !== undefined ||
+      readsEarlierAnswer(exchange),
   });
 }
 
-/** Reads a request's body; a refusal was sent where there is none. */
-export async function exchangeBody(
+/**
+ * Reads the body of a request. Returns `undefined` if the body is too large,
+ * which is answered with a refusal, or if it can't be read.
+ */
+export async function readExchangeBody(
   exchange: Exchange,
   options: ExchangeOptions,
 ): Promise<Buffer | undefined> {
@@ -85,8 +94,11 @@
   return undefined;
 }
 
-/** Finds the service that a request names; a refusal was sent without one. */
-export function exchangeService(
+/**
+ * Finds the service that a request names. Returns `undefined`, after answering
+ * with a refusal, if there is no such service of the wanted type.
+ */
+export function findExchangeService(
   exchange: Exchange,
   wanted: Pick<Service, "name" | "type">,
   options: ExchangeOptions,
@@ -105,7 +117,7 @@
   return undefined;
 }
 
-/** Latest time at which the answer helps, in milliseconds since the epoch. */
+/** Latest time at which the answer is useful, in milliseconds since the epoch. */
 export function exchangeDeadline(
   { caller }: Exchange,
   service: Service,
@@ -117,7 +129,7 @@
   );
 }
 
-/** What admission needs to know of a request. */
+/** The description of a request that admission decides on. */
 export function admissionRequest(
   { caller }: Exchange,
   work: Pick<
@@ -139,8 +151,8 @@
   };
 }
 
-/** A name within a path; text with a broken escape stays as it is. */
-export function decodedName(text: string): string {
+/** Decodes a path segment; returns text with a malformed escape unchanged. */
+export function decodePathSegment(text: string): string {
   try {
     return decodeURIComponent(text);
   } catch {
--- a/packages/rampswitch-entry/src/intake/mod.ts
+++ b/packages/rampswitch-entry/src/intake/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Where requests of callers and operators come in and are read.
+ * Receives and reads the requests of callers and operators.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/intake/problem.ts
+++ b/packages/rampswitch-entry/src/intake/problem.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Problem details (RFC 9457) for every answer that is not the work's own.
+ * Problem documents (RFC 9457) for all outcomes except completed ones.
  *
  * @module
  */
@@ -14,9 +14,9 @@
 } from "rampswitch-types";
 import { breakOff } from "rampswitch-utils";
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Any outcome but a completed one. */
+/** Any outcome except a completed one. */
 export type ProblemOutcome = Exclude<Outcome, { readonly kind: "completed" }>;
 
 /** Members of a problem document. */
@@ -25,11 +25,11 @@
   readonly title: string;
   readonly status: number;
   readonly detail: string;
-  /** Whether the work ran. */
+  /** Whether the request ran. */
   readonly ran: "no" | "yes" | "unknown";
   readonly reason: RefusalReason | FailureReason;
   readonly requestId: string | undefined;
-  /** Milliseconds after which asking again can help. */
+  /** Milliseconds after which a retry can succeed. */
   readonly retryAfterMilliseconds: number | undefined;
 }
 
@@ -76,12 +76,12 @@
   in_doubt: "The work may have run",
 };
 
-/** What a problem document says besides the outcome. */
+/** Values of a problem document besides the outcome. */
 export interface ProblemOptions {
   readonly requestId?: string | undefined;
   /**
    * Whether an earlier send with the same key or id may have run: it was not
-   * looked up, or not found, so that nothing can be said about it.
+   * looked up, or not found, so its outcome is unknown.
    */
   readonly earlierNotJudged?: boolean;
 }
@@ -113,7 +113,10 @@
   };
 }
 
-/** Sends an outcome as a problem document; ends the answer if it has begun. */
+/**
+ * Sends an outcome as a problem document. If the answer has already begun, its
+ * connection is broken off instead.
+ */
 export function sendProblem(
   response: ServerResponse,
   outcome: ProblemOutcome,
@@ -131,7 +134,7 @@
     ...(requestId === undefined ? {} : { "x-request-id": requestId }),
     ...(wait === undefined
       ? {}
-      : { "retry-after": String(Math.ceil(wait / MILLISECONDS)) }),
+      : { "retry-after": String(Math.ceil(wait / MILLISECONDS_PER_SECOND)) }),
   });
   response.end(JSON.stringify(document));
 }
--- a/packages/rampswitch-entry/src/intake/work_intake.ts
+++ b/packages/rampswitch-entry/src/intake/work_intake.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Reads chat requests and calls of plain services and hands them on.
+ * Reads chat requests and calls of plain services and starts their runs.
  *
  * @module
  */
@@ -11,18 +11,18 @@
 import { sha256 } from "rampswitch-utils";
 import type { AdmissionGate } from "../admission/admission_gate.ts";
 import type { BackendDirectory } from "../choice/backend_directory.ts";
-import { OWN_HEADERS } from "./caller_request.ts";
+import { ENTRY_HEADERS } from "./caller_request.ts";
 import { parseChatRequest } from "./chat_request.ts";
 import { chatRepeatable } from "../attempt/chat_run.ts";
 import type { ChatRunner } from "../attempt/chat_runner.ts";
 import {
   admissionRequest,
-  decodedName,
+  decodePathSegment,
   type Exchange,
-  exchangeBody,
   exchangeDeadline,
   type ExchangeOptions,
-  exchangeService,
+  findExchangeService,
+  readExchangeBody,
   refuse,
   refuseUnjudged,
 } from "./exchange.ts";
@@ -34,7 +34,7 @@
   type PlainRunner,
 } from "../attempt/plain_runner.ts";
 
-/** How intake is made. */
+/** Services that the handlers of requests use. */
 export interface IntakeOptions extends ExchangeOptions {
   readonly gate: AdmissionGate;
   readonly chat: ChatRunner;
@@ -43,27 +43,27 @@
   readonly kept: KeptRequests;
 }
 
-const SMALL_BODY_BYTES = 64 * 1024;
-const PLAIN_TOKENS = 256;
-const PLAIN_RUN_MILLISECONDS = 1;
+const MAXIMUM_BUFFERED_BODY_BYTES = 64 * 1024;
+const ASSUMED_PLAIN_TOKENS = 256;
+const ASSUMED_PLAIN_RUN_MILLISECONDS = 1;
 const NO_BODY = Buffer.alloc(0);
 
-/** Takes in a chat request. */
-export async function takeChat(
+/** Handles a chat request. */
+export async function handleChat(
   exchange: Exchange,
   options: IntakeOptions,
 ): Promise<void> {
-  const body = await exchangeBody(exchange, options);
+  const body = await readExchangeBody(exchange, options);
   if (body === undefined) return;
   const parsed = parseChatRequest(body);
   if (parsed.isErr) {
-    const wrong = refused("bad_request", parsed.error);
-    refuseUnjudged(exchange, wrong, options.metrics);
+    const malformed = refused("bad_request", parsed.error);
+    refuseUnjudged(exchange, malformed, options.metrics);
     return;
   }
   const chat = parsed.value;
   const wanted = { name: chat.model, type: "model" } as const;
-  const service = exchangeService(exchange, wanted, options);
+  const service = findExchangeService(exchange, wanted, options);
   if (service === undefined) return;
   const { directory, routing } = options;
   const route = routing().route(service, exchange.caller.workspace);
@@ -83,15 +83,15 @@
   });
 }
 
-/** Takes in a call of a plain service. */
-export async function takePlain(
+/** Handles a call of a plain service. */
+export async function handlePlainCall(
   exchange: Exchange,
   options: IntakeOptions,
 ): Promise<void> {
   const { url, caller, request } = exchange;
   const [, , name = "", ...rest] = url.pathname.split("/");
-  const wanted = { name: decodedName(name), type: "plain" } as const;
-  const service = exchangeService(exchange, wanted, options);
+  const wanted = { name: decodePathSegment(name), type: "plain" } as const;
+  const service = findExchangeService(exchange, wanted, options);
   if (service === undefined) return;
   const method = request.method ?? "GET";
   const path = `/${rest.join("/")}`;
@@ -100,23 +100,24 @@
     route: options.routing().route(service, caller.workspace),
     method,
     path: `${path}${url.search}`,
-    headers: passedHeaders(request.headers, { drop: OWN_HEADERS }),
+    headers: passedHeaders(request.headers, { drop: ENTRY_HEADERS }),
     repeatable: plainRepeatable(service.calls, { method, path }),
     deadline: exchangeDeadline(exchange, service, options.clock.now()),
   };
-  if (caller.key === undefined) await passPlain(exchange, call, options);
-  else await keepPlain(exchange, call, options);
+  if (caller.key === undefined)
+    await streamPlainAnswer(exchange, call, options);
+  else await retainPlainAnswer(exchange, call, options);
 }
 
 type UnsentCall = Omit<PlainCall, "requestId" | "body">;
 
-/** A call with a key: its answer is kept for callers who come back. */
-async function keepPlain(
+/** Runs a call with a key; its answer is retained for retries of the caller. */
+async function retainPlainAnswer(
   exchange: Exchange,
   call: UnsentCall,
   options: IntakeOptions,
 ): Promise<void> {
-  const body = await exchangeBody(exchange, options);
+  const body = await readExchangeBody(exchange, options);
   if (body === undefined) return;
   await options.kept.serve(exchange, {
     service: call.service,
@@ -124,21 +125,24 @@
     replicatedBody: NO_BODY,
     guarded: !call.repeatable,
     form: "plain",
-    tokens: PLAIN_TOKENS,
-    runMilliseconds: PLAIN_RUN_MILLISECONDS,
+    tokens: ASSUMED_PLAIN_TOKENS,
+    runMilliseconds: ASSUMED_PLAIN_RUN_MILLISECONDS,
     fingerprint: sha256(
       `${call.method} ${call.path}\n${body.toString("latin1")}`,
     ),
     start: (answer) => {
       const sent = body.length === 0 ? undefined : body;
       const requestId = answer.envelope.id;
-      void options.plain.keep({ ...call, requestId, body: sent }, answer);
+      void options.plain.runRetained(
+        { ...call, requestId, body: sent },
+        answer,
+      );
     },
   });
 }
 
-/** A call without a key: streamed through, nothing is kept. */
-async function passPlain(
+/** Runs a call without a key; its answer is streamed and not retained. */
+async function streamPlainAnswer(
   exchange: Exchange,
   call: UnsentCall,
   options: IntakeOptions,
@@ -153,8 +157,8 @@
       exchange,
       {
         id: requestId,
-        tokens: PLAIN_TOKENS,
-        runMilliseconds: PLAIN_RUN_MILLISECONDS,
+        tokens: ASSUMED_PLAIN_TOKENS,
+        runMilliseconds: ASSUMED_PLAIN_RUN_MILLISECONDS,
         deadline: call.deadline,
       },
       now,
@@ -164,17 +168,22 @@
     refuse(response, refusal, { metrics, requestId });
     return;
   }
-  const body = await passedBody(exchange, options);
+  const body = await forwardedBody(exchange, options);
   const outcome =
     body === "refused"
       ? undefined
-      : await plain.pass({ ...call, requestId, body }, response);
+      : await plain.runStreamed({ ...call, requestId, body }, response);
   gate.end(call.service.name, requestId);
   if (outcome !== undefined) refuse(response, outcome, { metrics, requestId });
 }
 
-/** A small body as a whole, so that it can be sent again; else the stream. */
-async function passedBody(
+/**
+ * The body to send to a backend server: a small body whole, so that it can be
+ * resent; a large one, or one of unknown length, as the caller's stream.
+ * Returns `undefined` for a request without a body, and `"refused"` if the
+ * request was refused or its body can't be read.
+ */
+async function forwardedBody(
   exchange: Exchange,
   options: IntakeOptions,
 ): Promise<Buffer | IncomingMessage | undefined | "refused"> {
@@ -182,7 +191,7 @@
   const length = Number(request.headers["content-length"] ?? Number.NaN);
   const chunked = request.headers["transfer-encoding"] !== undefined;
   if (!chunked && !(length > 0)) return undefined;
-  return length <= SMALL_BODY_BYTES
-    ? ((await exchangeBody(exchange, options)) ?? "refused")
+  return length <= MAXIMUM_BUFFERED_BODY_BYTES
+    ? ((await readExchangeBody(exchange, options)) ?? "refused")
     : request;
 }
