--- a/packages/rampswitch-entry/src/outcome/answer_cache.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_cache.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Answers in progress and answers kept for callers who come back, bounded in
- * time and size. An answer is a list of numbered events.
+ * Cache of answers in progress and of ended answers that callers may read
+ * again. Ended answers are evicted by age and by size. An answer is a list of
+ * numbered events.
  *
  * @module
  */
@@ -15,20 +16,22 @@
 } from "rampswitch-types";
 import type { Clock, Metrics } from "rampswitch-utils";
 
-/** What is needed to run a request, here or at another host. */
+/** Data needed to run a request, on this host or on another. */
 export interface RequestEnvelope {
   readonly id: string;
   readonly slot: number;
-  /** The slot protocol's key: the caller's key within its workspace, or the
-   * id. */
+  /**
+   * Key in the slot protocol: the caller's key within its workspace, or the
+   * id if the caller sent no key.
+   */
   readonly key: string;
   readonly workspace: string;
   readonly service: string;
   readonly body: Buffer;
-  /** Milliseconds since the epoch. */
+  /** Latest time for the answer, in milliseconds since the epoch. */
   readonly deadline: number;
   readonly streamed: boolean;
-  /** Hash of the request; a key with another hash is refused. */
+  /** Hash of the request; reusing a key with another hash is refused. */
   readonly fingerprint: string;
 }
 
@@ -36,98 +39,107 @@
 export interface AnswerReader {
   event(index: number, text: string): void;
   ended(outcome: Outcome): void;
-  /** This host can't follow the answer any more; another one may. */
+  /**
+   * Called when this host stops receiving the answer; another host may have
+   * it.
+   */
   lost?(): void;
 }
 
-/** Where an attempt of a request runs. */
+/** An attempt of a request and the server that runs it. */
 export interface RunningAttempt {
   readonly attempt: string;
   readonly server: string;
 }
 
-/** One answer, in progress or kept. */
+/** One answer, in progress or ended. */
 export class Answer {
   readonly envelope: RequestEnvelope;
   /** Host that runs the request. */
   runner: HostId;
   attempt: RunningAttempt | undefined;
   /**
-   * Number of events that are surely those the caller saw, where the rest was
-   * computed again elsewhere; absent where all are.
+   * Number of leading events that are certain to equal those sent to the
+   * caller. The later ones were computed again elsewhere and may differ. Absent
+   * if all events are certain.
    */
   certainEvents: number | undefined;
-  /** Callers that read the answer now. */
+  /** Number of callers connected to the answer. */
   callers = 0;
-  readonly #book: AnswerCache;
+  readonly #cache: AnswerCache;
   readonly #events: string[] = [];
   #bytes = 0;
   #outcome: Outcome | undefined;
   #endedAt: number | undefined;
   #readers: readonly AnswerReader[] = [];
 
-  constructor(book: AnswerCache, envelope: RequestEnvelope, runner: HostId) {
-    this.#book = book;
+  constructor(cache: AnswerCache, envelope: RequestEnvelope, runner: HostId) {
+    this.#cache = cache;
     this.envelope = envelope;
     this.runner = runner;
   }
 
-  /** Events so far. */
+  /** Events received so far. */
   get events(): readonly string[] {
     return this.#events;
   }
 
-  /** Bytes of all events and of the request. */
+  /** Size of all events and of the request's body, in bytes. */
   get bytes(): number {
     return this.#bytes + this.envelope.body.length;
   }
 
-  /** How it ended; `undefined` while it runs. */
+  /** Outcome of the request; `undefined` while it runs. */
   get outcome(): Outcome | undefined {
     return this.#outcome;
   }
 
-  /** When it ended, in milliseconds since the epoch. */
+  /**
+   * End of the answer, in milliseconds since the epoch; `undefined` while it
+   * runs.
+   */
   get endedAt(): number | undefined {
     return this.#endedAt;
   }
 
-  /** Readers that follow the answer. */
+  /** Number of readers that receive new events. */
   get readers(): number {
     return this.#readers.length;
   }
 
   /**
-   * Adds events from a number on. Known ones are dropped and counted, and so
-   * are all after a gap.
+   * Adds events whose first one has the number `first`. Drops and counts
+   * events that are already stored. Drops all events after a gap, and counts
+   * the missing ones. Drops and counts all events after the answer's end.
    */
   append(first: number, events: readonly string[]): void {
     if (this.#outcome !== undefined) {
-      this.#book.metrics.count("drop", "former_attempt", events.length);
+      this.#cache.metrics.count("drop", "former_attempt", events.length);
       return;
     }
     const known = Math.min(events.length, this.#events.length - first);
     if (known !== 0) {
-      this.#book.metrics.count("drop", "duplicate_event", Math.abs(known));
+      this.#cache.metrics.count("drop", "duplicate_event", Math.abs(known));
     }
     if (known < 0) return;
     events.slice(known).forEach((event) => this.#add(event));
   }
 
-  /** Ends the answer; only the first end counts. */
+  /** Ends the answer; later calls have no effect. */
   end(outcome: Outcome): void {
     if (this.#outcome !== undefined) return;
     this.#outcome = outcome;
-    this.#endedAt = this.#book.clock.now();
+    this.#endedAt = this.#cache.clock.now();
     const readers = this.#readers;
     this.#readers = [];
     readers.forEach((reader) => reader.ended(outcome));
-    this.#book.onEnded(this);
+    this.#cache.onEnded(this);
   }
 
   /**
-   * Follows the answer from the event after `after`; returns a way to stop. A
-   * reader may have more than this host holds yet: what it has is passed over.
+   * Passes all stored and future events after the number `after` to a reader;
+   * returns a function that stops this. `after` may exceed the last stored
+   * event: the reader then gets no event that it already has.
    */
   read(after: number, reader: AnswerReader): () => void {
     const follower: AnswerReader = {
@@ -148,7 +160,7 @@
     };
   }
 
-  /** Sends readers away, since this host can't follow the answer any more. */
+  /** Disconnects all readers, since this host no longer receives the answer. */
   sendReadersAway(): void {
     const readers = this.#readers;
     this.#readers = [];
@@ -159,39 +171,43 @@
     const index = this.#events.length;
     this.#events.push(event);
     this.#bytes += event.length;
-    this.#book.grew(event.length);
+    this.#cache.addBytes(event.length);
     this.#readers.forEach((reader) => reader.event(index, event));
   }
 }
 
-/** Limits of an answer book. */
+/** Limits of an answer cache. */
 export interface AnswerLimits {
-  /** Bytes of one answer. */
+  /** Maximum size of one ended answer, in bytes. */
   readonly answerBytes: number;
-  /** Bytes of all answers together. */
+  /**
+   * Size of all answers together above which ended ones are evicted, in
+   * bytes.
+   */
   readonly answersBytes: number;
-  /** How long an ended answer is kept. */
+  /** Time for which an ended answer is retained. */
   readonly retentionMilliseconds: number;
 }
 
-/** An answer that was kept once and is gone, with the reason. */
-export interface ForgottenAnswer {
+/** Workspace of an evicted answer and the reason for the eviction. */
+export interface EvictedAnswer {
   readonly workspace: string;
   readonly reason: FailureReason;
 }
 
-const FORGOTTEN_KEPT = 10_000;
+/** Number of evicted answers whose reason is retained. */
+const MAXIMUM_EVICTED_ENTRIES = 10_000;
 
-/** All answers that one host holds. */
+/** All answers that one host stores. */
 export class AnswerCache {
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly limits: AnswerLimits;
   readonly #answers = new Map<string, Answer>();
   readonly #idsByKey = new Map<string, string>();
-  /** Ended answers, the first to end first. */
+  /** Ended answers, in the order of their ends. */
   readonly #ended = new Set<Answer>();
-  readonly #forgotten = new Map<string, ForgottenAnswer>();
+  readonly #evicted = new Map<string, EvictedAnswer>();
   #bytes = 0;
 
   constructor(clock: Clock, metrics: Metrics, limits: AnswerLimits) {
@@ -200,7 +216,7 @@
     this.limits = limits;
   }
 
-  /** Answers held, and their bytes. */
+  /** Number of stored answers and their size in bytes. */
   get size(): { readonly answers: number; readonly bytes: number } {
     return { answers: this.#answers.size, bytes: this.#bytes };
   }
@@ -210,60 +226,66 @@
     return [...this.#answers.values()];
   }
 
-  /** Starts an answer, or returns the one that is known by this id. */
+  /** Creates an answer, or returns the stored one with the same id. */
   open(envelope: RequestEnvelope, runner: HostId): Answer {
     const known = this.#answers.get(envelope.id);
     if (known !== undefined) return known;
     const answer = new Answer(this, envelope, runner);
     this.#answers.set(envelope.id, answer);
     this.#idsByKey.set(envelope.key, envelope.id);
-    this.grew(envelope.body.length);
+    this.addBytes(envelope.body.length);
     return answer;
   }
 
-  /** The answer with an id. */
+  /** Returns the answer to the request with an id. */
   byId(id: string): Answer | undefined {
     return this.#answers.get(id);
   }
 
-  /** The answer to the request with a key. */
+  /** Returns the answer to the request with a key. */
   byKey(key: string): Answer | undefined {
     const id = this.#idsByKey.get(key);
     return id === undefined ? undefined : this.#answers.get(id);
   }
 
-  /** Why an answer that was here is gone. */
-  forgotten(id: string): ForgottenAnswer | undefined {
-    return this.#forgotten.get(id);
+  /**
+   * Returns why an answer was evicted; `undefined` if it was not, or if its
+   * reason is no longer retained.
+   */
+  evicted(id: string): EvictedAnswer | undefined {
+    return this.#evicted.get(id);
   }
 
-  /** Counts bytes that an answer grew by. */
-  grew(bytes: number): void {
+  /** Adds the growth of an answer to the total size. */
+  addBytes(bytes: number): void {
     this.#bytes += bytes;
   }
 
-  /** Called when an answer ends; frees what is over the limits. */
+  /** Called when an answer ends; evicts ended answers over the limits. */
   onEnded(answer: Answer): void {
     if (!this.#answers.has(answer.envelope.id)) return;
     this.#ended.add(answer);
     if (answer.bytes > this.limits.answerBytes) {
-      this.#forget(answer, "answer_too_large");
+      this.#evict(answer, "answer_too_large");
     }
     this.expire();
   }
 
-  /** Forgets ended answers past their time, and the oldest over the size. */
+  /**
+   * Evicts expired answers, and the oldest ended ones if the total size is over
+   * its limit.
+   */
   expire(): void {
     const now = this.clock.now();
     for (const answer of this.#ended) {
       const age = now - (answer.endedAt ?? now);
-      const late = age > this.limits.retentionMilliseconds;
-      if (!late && this.#bytes <= this.limits.answersBytes) return;
-      this.#forget(answer, "answer_expired");
+      const expired = age > this.limits.retentionMilliseconds;
+      if (!expired && this.#bytes <= this.limits.answersBytes) return;
+      this.#evict(answer, "answer_expired");
     }
   }
 
-  /** Removes an answer that must not be found again. */
+  /** Removes an answer without recording a reason. */
   discard(answer: Answer): void {
     this.#ended.delete(answer);
     if (!this.#answers.delete(answer.envelope.id)) return;
@@ -273,18 +295,18 @@
     this.#bytes -= answer.bytes;
   }
 
-  #forget(answer: Answer, reason: FailureReason): void {
+  #evict(answer: Answer, reason: FailureReason): void {
     this.discard(answer);
     const { id, workspace } = answer.envelope;
-    this.#forgotten.set(id, { workspace, reason });
+    this.#evicted.set(id, { workspace, reason });
     this.metrics.count("answer_forgotten", reason);
-    if (this.#forgotten.size <= FORGOTTEN_KEPT) return;
-    const [oldest] = this.#forgotten.keys();
-    if (oldest !== undefined) this.#forgotten.delete(oldest);
+    if (this.#evicted.size <= MAXIMUM_EVICTED_ENTRIES) return;
+    const [oldest] = this.#evicted.keys();
+    if (oldest !== undefined) this.#evicted.delete(oldest);
   }
 }
 
-/** The outcome told for an answer that is no longer kept. */
-export function forgottenOutcome(reason: FailureReason): FailedRan {
-  return failed(reason, "the answer was given and is no longer kept");
+/** Outcome reported for an evicted answer. */
+export function evictedOutcome(reason: FailureReason): FailedRan {
+  return failed(reason, "the answer ended and is no longer retained");
 }
--- a/packages/rampswitch-entry/src/outcome/answer_cache_test.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_cache_test.ts
@@ -21,15 +21,15 @@
   fingerprint: "f",
 };
 
-function newBook() {
+function newCache() {
   const clock = new ManualClock();
   const metrics = createMetrics("test", undefined);
-  const book = new AnswerCache(clock, metrics, {
+  const cache = new AnswerCache(clock, metrics, {
     answerBytes: 64,
     answersBytes: 128,
     retentionMilliseconds: 1_000,
   });
-  return { clock, metrics, book };
+  return { clock, metrics, cache };
 }
 
 function readAll(answer: Answer, after: number): readonly string[] {
@@ -43,8 +43,8 @@
 }
 
 describe("an answer", () => {
-  test("goes on exactly from the next event", () => {
-    const answer = newBook().book.open(ENVELOPE, "a");
+  test("continues with the next event", () => {
+    const answer = newCache().cache.open(ENVELOPE, "a");
     answer.append(0, ["x", "y"]);
     const seen = readAll(answer, 0);
     answer.append(2, ["z"]);
@@ -52,32 +52,32 @@
     expect(seen).toEqual(["1:y", "2:z", "completed"]);
   });
 
-  test("gives a reader who is ahead nothing twice", () => {
-    const answer = newBook().book.open(ENVELOPE, "a");
+  test("does not repeat events to a reader who is ahead", () => {
+    const answer = newCache().cache.open(ENVELOPE, "a");
     answer.append(0, ["x"]);
     const seen = readAll(answer, 2);
     answer.append(1, ["y", "z", "w"]);
     expect(seen).toEqual(["3:w"]);
   });
 
-  test("drops and counts events that it has", () => {
-    const { book, metrics } = newBook();
-    const answer = book.open(ENVELOPE, "a");
+  test("drops and counts duplicate events", () => {
+    const { cache, metrics } = newCache();
+    const answer = cache.open(ENVELOPE, "a");
     answer.append(0, ["x", "y"]);
     answer.append(1, ["y", "z"]);
     expect(answer.events).toEqual(["x", "y", "z"]);
     expect(metrics.totals()["drop.duplicate_event"]).toBe(1);
   });
 
-  test("takes no events after a gap", () => {
-    const answer = newBook().book.open(ENVELOPE, "a");
+  test("drops events after a gap", () => {
+    const answer = newCache().cache.open(ENVELOPE, "a");
     answer.append(1, ["y"]);
     expect(answer.events).toEqual([]);
   });
 
-  test("takes no events after its end", () => {
-    const { book, metrics } = newBook();
-    const answer = book.open(ENVELOPE, "a");
+  test("drops and counts events after its end", () => {
+    const { cache, metrics } = newCache();
+    const answer = cache.open(ENVELOPE, "a");
     answer.end({ kind: "completed" });
     answer.append(0, ["x"]);
     expect(answer.events).toEqual([]);
@@ -85,32 +85,32 @@
   });
 });
 
-describe("the answer book", () => {
-  test("forgets ended answers past their time and says why", () => {
-    const { book, clock } = newBook();
-    book.open(ENVELOPE, "a").end({ kind: "completed" });
+describe("the answer cache", () => {
+  test("evicts expired answers and retains the reason", () => {
+    const { cache, clock } = newCache();
+    cache.open(ENVELOPE, "a").end({ kind: "completed" });
     clock.advance(1_001);
-    book.expire();
-    expect(book.byId(ENVELOPE.id)).toBeUndefined();
-    expect(book.forgotten(ENVELOPE.id)?.reason).toBe("answer_expired");
-    expect(book.size).toEqual({ answers: 0, bytes: 0 });
+    cache.expire();
+    expect(cache.byId(ENVELOPE.id)).toBeUndefined();
+    expect(cache.evicted(ENVELOPE.id)?.reason).toBe("answer_expired");
+    expect(cache.size).toEqual({ answers: 0, bytes: 0 });
   });
 
-  test("forgets an answer that is too large when it ends", () => {
-    const { book } = newBook();
-    const answer = book.open(ENVELOPE, "a");
+  test("evicts an answer that is too large when it ends", () => {
+    const { cache } = newCache();
+    const answer = cache.open(ENVELOPE, "a");
     answer.append(0, ["x".repeat(80)]);
-    expect(book.byId(ENVELOPE.id)).toBe(answer);
+    expect(cache.byId(ENVELOPE.id)).toBe(answer);
     answer.end({ kind: "completed" });
-    expect(book.forgotten(ENVELOPE.id)?.reason).toBe("answer_too_large");
+    expect(cache.evicted(ENVELOPE.id)?.reason).toBe("answer_too_large");
   });
 
-  test("keeps answers that still run, whatever their size", () => {
-    const { book, clock } = newBook();
-    const answer = book.open(ENVELOPE, "a");
+  test("retains answers in progress, whatever their age and size", () => {
+    const { cache, clock } = newCache();
+    const answer = cache.open(ENVELOPE, "a");
     answer.append(0, ["x".repeat(200)]);
     clock.advance(10_000);
-    book.expire();
-    expect(book.byKey(ENVELOPE.key)).toBe(answer);
+    cache.expire();
+    expect(cache.byKey(ENVELOPE.key)).toBe(answer);
   });
 });
--- a/packages/rampswitch-entry/src/outcome/answer_writer.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_writer.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Writing kept answers to callers: as a stream of events, as one whole, or as
- * a plain service gave them.
+ * Writes answers to callers: as a stream of events, as one JSON body, or in the
+ * form in which a plain service sent them.
  *
  * @module
  */
@@ -14,28 +14,31 @@
 import { keptHead, keptPart } from "../attempt/plain_runner.ts";
 import { sendProblem } from "../intake/problem.ts";
 
-/** Bytes that may wait for a slow caller before its connection is closed. */
-const MAXIMUM_WAITING_BYTES = 1024 * 1024;
+/** Unsent bytes above which the connection to a slow caller is closed. */
+const MAXIMUM_UNSENT_BYTES = 1024 * 1024;
 
-/** Time after which another host knows what became of a request, in milliseconds. */
-const SETTLED_MILLISECONDS = 500;
+/**
+ * Time after which another host knows the state of a request whose host was
+ * lost.
+ */
+const TAKEOVER_RETRY_MILLISECONDS = 500;
 
 const RUNNER_LOST = refused(
   "slot_unavailable",
-  "the host that ran the request was lost, and another one settles it",
-  { retryAfterMilliseconds: SETTLED_MILLISECONDS },
+  "the host that ran the request was lost; another host determines the outcome",
+  { retryAfterMilliseconds: TAKEOVER_RETRY_MILLISECONDS },
 );
 
-/** Forms in which an answer is written. */
+/** Form in which an answer is written. */
 export type AnswerForm = "stream" | "whole" | "plain";
 
-/** How an answer is written. */
+/** Options for writing an answer. */
 export interface WriteOptions {
   readonly form: AnswerForm;
-  /** Number of the last event that the caller has; -1 for none. */
+  /** Number of the last event that the caller received; -1 for none. */
   readonly after: number;
-  /** Called once when the caller's connection ends before the answer. */
-  readonly onGone: () => void;
+  /** Called once if the caller's connection closes before the answer ends. */
+  readonly onCallerGone: () => void;
 }
 
 type WriterFactory = (answer: Answer, response: ServerResponse) => AnswerReader;
@@ -46,7 +49,7 @@
   plain: plainWriter,
 };
 
-/** Writes an answer to a caller, from the next event on until its end. */
+/** Writes an answer to a caller, from the event after `after` until its end. */
 export function writeAnswer(
   answer: Answer,
   response: ServerResponse,
@@ -69,13 +72,13 @@
       });
     },
   });
-  const gone = () => {
+  const onClose = () => {
     stop();
     answer.callers -= 1;
-    if (!ended) options.onGone();
+    if (!ended) options.onCallerGone();
   };
-  if (response.destroyed) gone();
-  else response.on("close", gone);
+  if (response.destroyed) onClose();
+  else response.on("close", onClose);
 }
 
 function streamWriter(answer: Answer, response: ServerResponse): AnswerReader {
@@ -92,7 +95,7 @@
     event: (index, text) => {
       begin();
       response.write(callerEvent(id, service, { index, text }));
-      if (response.writableLength > MAXIMUM_WAITING_BYTES) response.destroy();
+      if (response.writableLength > MAXIMUM_UNSENT_BYTES) response.destroy();
     },
     ended: (outcome) => {
       if (outcome.kind === "completed") {
@@ -134,13 +137,19 @@
     },
     ended: (outcome) => {
       if (outcome.kind === "completed") response.end();
-      else sendProblem(response, partTold(outcome, answer), { requestId: id });
+      else
+        sendProblem(response, outcomeAfterPart(outcome, answer), {
+          requestId: id,
+        });
     },
   };
 }
 
-/** An answer of which the caller has a part is in doubt, whatever its end. */
-function partTold(
+/**
+ * Turns "not run" into "in doubt" if the caller may have received a part of
+ * the answer.
+ */
+function outcomeAfterPart(
   outcome: Exclude<Outcome, { readonly kind: "completed" }>,
   answer: Answer,
 ): Exclude<Outcome, { readonly kind: "completed" }> {
--- a/packages/rampswitch-entry/src/outcome/answer_writer_test.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_writer_test.ts
@@ -1,11 +1,10 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// A caller of a stream that must run once came back to read the rest, after the
-// host that ran it was lost. The host that was asked held events that the caller
-// had not, and the answer's end was in doubt: it wrote the events and closed the
-// connection in the same turn, so nothing of either arrived. Forty readings in a
-// row ended with a broken connection and not one byte, in four of eighteen plays
-// on a busy machine. The caller got neither the ready events nor the verdict.
+// Guards against losing stored events when the outcome of an answer is in
+// doubt. The host that ran a stream is lost, and the caller reads the rest at
+// another host. That host wrote the missing events and closed the connection in
+// the same turn of the event loop, so on a busy machine the caller received
+// neither the events nor the outcome.
 
 import { createServer, get } from "node:http";
 import { describe, expect, test } from "@jest/globals";
@@ -45,7 +44,7 @@
   return answer;
 }
 
-/** Reads over a real connection; what came before it ended. */
+/** Reads over a real connection; returns what arrived before it closed. */
 async function readAfter(
   answer: Answer,
   after: number,
@@ -54,34 +53,35 @@
     writeAnswer(answer, response, {
       form: "stream",
       after,
-      onGone: () => undefined,
+      onCallerGone: () => undefined,
     }),
   );
   await using listening = await listen(server, "127.0.0.1:0");
   return await new Promise((resolve) => {
-    const got = { status: 0, text: "" };
+    const received = { status: 0, text: "" };
     get(`http://${listening.address}/`, { agent: false }, (response) => {
-      got.status = response.statusCode ?? 0;
+      received.status = response.statusCode ?? 0;
       response.setEncoding("utf8");
       response.on("data", (part: string) => {
-        got.text += part;
+        received.text += part;
       });
-      response.on("close", () => resolve(got));
-      // An answer that breaks off is expected; what came before it counts.
-      response.on("error", () => resolve(got));
-    }).on("error", () => resolve(got));
+      response.on("close", () => resolve(received));
+      // The connection is expected to break off; the test checks what arrived
+      // before.
+      response.on("error", () => resolve(received));
+    }).on("error", () => resolve(received));
   });
 }
 
-describe("a kept answer whose end is in doubt", () => {
-  test("gives the events that it holds before it breaks off", async () => {
+describe("a stored answer whose outcome is in doubt", () => {
+  test("sends its stored events before the connection breaks off", async () => {
     const got = await readAfter(answerInDoubt(), 0);
     expect(got.status).toBe(200);
     expect(got.text).toContain("id: 2\n");
     expect(got.text).not.toContain("[DONE]");
   });
 
-  test("tells its end to a caller who has all events", async () => {
+  test("sends its outcome to a caller who has all events", async () => {
     const got = await readAfter(answerInDoubt(), 2);
     expect(got.status).toBe(409);
     expect(JSON.parse(got.text)).toMatchObject({
--- a/packages/rampswitch-entry/src/outcome/kept_requests.ts
+++ b/packages/rampswitch-entry/src/outcome/kept_requests.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Requests whose answers are kept: judged by their key, claimed, admitted,
- * started, and read again by callers who come back.
+ * Requests whose answers are retained. Evaluates their keys, claims, admits and
+ * starts them, and sends their answers again to callers that reconnect.
  *
  * @module
  */
@@ -26,7 +26,7 @@
 import {
   type Answer,
   type AnswerCache,
-  forgottenOutcome,
+  evictedOutcome,
   type RequestEnvelope,
 } from "./answer_cache.ts";
 import { type AnswerForm, writeAnswer } from "./answer_writer.ts";
@@ -44,8 +44,8 @@
 import type { RequestReplication } from "../replication/request_replication.ts";
 import type { ClaimEnd, SlotService } from "../replication/slot_service.ts";
 
-/** How requests are kept. */
-export interface KeptRequestOptions extends ExchangeOptions {
+/** Options for serving requests whose answers are retained. */
+export interface RetainedRequestOptions extends ExchangeOptions {
   readonly self: HostId;
   readonly random: Random;
   readonly book: AnswerCache;
@@ -57,68 +57,76 @@
   readonly trusts: (host: HostId) => boolean;
 }
 
-/** Work whose answer is kept. */
-export interface KeptWork {
+/** A request whose answer is retained, and how to run it. */
+export interface RetainedWork {
   readonly service: Service;
-  /** The caller's body, to be passed to another host. */
+  /** The caller's body, as forwarded to the slot's primary. */
   readonly body: Buffer;
-  /** Body that another host needs to go on with the work. */
+  /** Body that another host needs to continue the work. */
   readonly replicatedBody: Buffer;
   /** Whether the work must not run twice. */
   readonly guarded: boolean;
   readonly form: AnswerForm;
   /** Predicted tokens of the prompt and the answer. */
   readonly tokens: number;
+  /** Predicted duration of the run. */
   readonly runMilliseconds: number;
-  /** Hash of the request; the same key with another hash is refused. */
+  /** Hash of the request; reusing a key with another hash is refused. */
   readonly fingerprint: string;
   /** Starts the work once it is claimed and admitted. */
   readonly start: (answer: Answer) => void;
 }
 
-interface Place {
+/** A key and the slot of the slot protocol that holds it. */
+interface SlotKey {
   readonly slot: number;
-  /** The key within its workspace; absent where the caller sent none. */
+  /** The key within its workspace; absent if the caller sent none. */
   readonly key: string | undefined;
 }
 
-const CLAIM_MILLISECONDS = 2_000;
+/** Time after which an unanswered claim is withdrawn. */
+const CLAIM_TIMEOUT_MILLISECONDS = 2_000;
+/**
+ * Time for which a stream without callers continues, so that one can
+ * reconnect.
+ */
 const RESUME_GRACE_MILLISECONDS = 15_000;
 const RETRY_AFTER = { retryAfterMilliseconds: 500 };
+/** Event number that makes a reader receive the outcome only. */
 const AFTER_ALL_EVENTS = Number.MAX_SAFE_INTEGER;
 
-/** Requests whose answers are kept on one host. */
+/** Serves requests whose answers are retained on one host. */
 export class KeptRequests {
-  readonly #options: KeptRequestOptions;
+  readonly #options: RetainedRequestOptions;
 
-  constructor(options: KeptRequestOptions) {
+  constructor(options: RetainedRequestOptions) {
     this.#options = options;
   }
 
-  /** Serves a request, here or at its slot's primary. */
-  async serve(exchange: Exchange, work: KeptWork): Promise<void> {
+  /** Serves a request on this host, or forwards it to its slot's primary. */
+  async serve(exchange: Exchange, work: RetainedWork): Promise<void> {
     const { caller } = exchange;
     const { slots, hop, random } = this.#options;
     const { body } = work;
     if (caller.key !== undefined) {
       const key = `${caller.workspace.name}/${caller.key}`;
       const slot = slotOfKey(key, slots.count);
-      const here = () => this.#serveKey(exchange, work, { slot, key });
+      const here = () => this.#serveKeyed(exchange, work, { slot, key });
       await hop.run(exchange, { slot, body, here });
       return;
     }
-    const own = slots.primarySlots;
-    const mine = own[random.below(Math.max(1, own.length))];
-    const slot = mine ?? random.below(slots.count);
+    const ownSlots = slots.primarySlots;
+    const ownSlot = ownSlots[random.below(Math.max(1, ownSlots.length))];
+    const slot = ownSlot ?? random.below(slots.count);
     const here = () => this.#start(exchange, work, { slot, key: undefined });
-    if (mine === undefined) await hop.run(exchange, { slot, body, here });
+    if (ownSlot === undefined) await hop.run(exchange, { slot, body, here });
     else await here();
   }
 
-  /** Reads an answer again by the id of its request. */
+  /** Sends an answer again, found by the id of its request. */
   async again(exchange: Exchange, id: string): Promise<void> {
     const slot = slotOfRequestId(id);
-    const here = () => Promise.resolve(this.#readAgain(exchange, id));
+    const here = () => Promise.resolve(this.#readCached(exchange, id));
     const answer = this.#options.book.byId(id);
     const isHere = answer !== undefined && this.#canFollow(answer);
     if (slot === undefined || isHere) {
@@ -128,34 +136,34 @@
     }
   }
 
-  /** Whether the end of an answer is known here, or will be. */
+  /** Whether this host has the outcome of an answer or will receive it. */
   #canFollow({ outcome, runner }: Answer): boolean {
     return outcome !== undefined || this.#options.trusts(runner);
   }
 
-  async #serveKey(
+  async #serveKeyed(
     exchange: Exchange,
-    work: KeptWork,
-    place: { readonly slot: number; readonly key: string },
+    work: RetainedWork,
+    slotKey: { readonly slot: number; readonly key: string },
   ): Promise<void> {
     const verdict = this.#options.slots.judge(
-      place.slot,
-      keyRequest(exchange, work, place.key),
+      slotKey.slot,
+      keyRequest(exchange, work, slotKey.key),
     );
-    const answer = this.#options.book.byKey(place.key);
-    const runs =
+    const answer = this.#options.book.byKey(slotKey.key);
+    const mayRun =
       verdict.kind === "new" ||
-      (!work.guarded && FORGOTTEN_KEYS.includes(verdict.kind));
-    if (runs) await this.#start(exchange, work, place);
+      (!work.guarded && UNKNOWN_HISTORY_VERDICTS.includes(verdict.kind));
+    if (mayRun) await this.#start(exchange, work, slotKey);
     else if (verdict.kind === "known" && answer !== undefined) {
-      this.#attach(exchange, work, { answer, verdict });
+      this.#attachCaller(exchange, work, { answer, verdict });
     } else this.#refuse(exchange, VERDICT_OUTCOMES[verdict.kind](verdict));
   }
 
-  /** Lets a caller who came back read the answer to the same request. */
-  #attach(
+  /** Sends the answer again to a caller that repeats its request. */
+  #attachCaller(
     exchange: Exchange,
-    work: KeptWork,
+    work: RetainedWork,
     found: {
       readonly answer: Answer;
       readonly verdict: Extract<KeyVerdict, { readonly kind: "known" }>;
@@ -176,24 +184,24 @@
     }
   }
 
-  /** Claims, admits and starts new work. */
+  /** Claims, admits and starts new work, or refuses it. */
   async #start(
     exchange: Exchange,
-    work: KeptWork,
-    place: Place,
+    work: RetainedWork,
+    slotKey: SlotKey,
   ): Promise<void> {
     const { book, replication, self } = this.#options;
-    const envelope = this.#envelope(exchange, work, place);
+    const envelope = this.#envelope(exchange, work, slotKey);
     const answer = book.open(envelope, self);
-    const refusal = await this.#clear(exchange, work, answer);
+    const refusal = await this.#claimAndAdmit(exchange, work, answer);
     if (refusal !== undefined) {
       answer.end(refusal);
       book.discard(answer);
       this.#refuse(exchange, refusal, envelope.id);
       return;
     }
-    const returns = envelope.key !== envelope.id || envelope.streamed;
-    if (returns) replication.opened(answer);
+    const canReconnect = envelope.key !== envelope.id || envelope.streamed;
+    if (canReconnect) replication.opened(answer);
     answer.read(AFTER_ALL_EVENTS, {
       event: () => undefined,
       ended: (outcome) => this.#ended(answer, outcome),
@@ -204,8 +212,8 @@
 
   #envelope(
     exchange: Exchange,
-    work: KeptWork,
-    { slot, key }: Place,
+    work: RetainedWork,
+    { slot, key }: SlotKey,
   ): RequestEnvelope {
     const now = this.#options.clock.now();
     const id = mintRequestId(slot, now);
@@ -222,10 +230,10 @@
     };
   }
 
-  /** Claims and admits work; returns why it may not run. */
-  async #clear(
+  /** Claims and admits work; returns the refusal if it must not run. */
+  async #claimAndAdmit(
     exchange: Exchange,
-    work: KeptWork,
+    work: RetainedWork,
     { envelope }: Answer,
   ): Promise<ProblemOutcome | undefined> {
     const { gate, slots, clock } = this.#options;
@@ -246,7 +254,7 @@
   async #claim(slot: number, request: KeyRequest): Promise<ClaimEnd> {
     const { clock, slots, metrics } = this.#options;
     const started = clock.now();
-    const cancel = clock.after(CLAIM_MILLISECONDS, () =>
+    const cancel = clock.after(CLAIM_TIMEOUT_MILLISECONDS, () =>
       slots.withdraw(slot, request.key),
     );
     const end = await slots.open(slot, request);
@@ -267,19 +275,19 @@
     if (notRun && answer !== undefined) book.discard(answer);
   }
 
-  #readAgain(exchange: Exchange, id: string): void {
+  #readCached(exchange: Exchange, id: string): void {
     const { book, metrics } = this.#options;
     const answer = book.byId(id);
-    const forgotten = book.forgotten(id);
+    const evicted = book.evicted(id);
     const own = exchange.caller.workspace.name;
     if (answer?.envelope.workspace === own) {
       metrics.count("answer_again");
       const form = answer.envelope.streamed ? "stream" : "whole";
       this.#write(exchange, answer, form);
-    } else if (forgotten?.workspace === own) {
-      this.#refuse(exchange, forgottenOutcome(forgotten.reason), id);
+    } else if (evicted?.workspace === own) {
+      this.#refuse(exchange, evictedOutcome(evicted.reason), id);
     } else {
-      const detail = `request id ${id}, expected a known one`;
+      const detail = `no request with the id ${id} is known`;
       const unknown = refused("unknown_request", detail);
       refuseUnjudged(exchange, unknown, metrics);
     }
@@ -295,12 +303,15 @@
     writeAnswer(answer, response, {
       form,
       after: form === "stream" ? caller.lastEvent : -1,
-      onGone: () => this.#callerGone(answer),
+      onCallerGone: () => this.#handleCallerGone(answer),
     });
   }
 
-  /** Ends work that nobody can come back for. */
-  #callerGone(answer: Answer): void {
+  /**
+   * Cancels work without a key if no caller reads its answer any more. A stream
+   * continues for a while, so that the caller can reconnect.
+   */
+  #handleCallerGone(answer: Answer): void {
     const { metrics, clock, chat } = this.#options;
     metrics.count("drop", "caller_gone");
     const { id, key, streamed } = answer.envelope;
@@ -322,31 +333,34 @@
 
 function keyRequest(
   { caller }: Exchange,
-  { guarded }: KeptWork,
+  { guarded }: RetainedWork,
   key: string,
 ): KeyRequest {
   return { key, keyTime: timeOfKey(caller.key ?? ""), guarded };
 }
 
-/** Verdicts on keys that may have run; harmless for work that may repeat. */
-const FORGOTTEN_KEYS: readonly KeyVerdict["kind"][] = [
+/**
+ * Verdicts on keys whose request may have run before. Work that is not guarded
+ * runs all the same, since it may be repeated.
+ */
+const UNKNOWN_HISTORY_VERDICTS: readonly KeyVerdict["kind"][] = [
   "history_lost",
   "key_expired",
 ];
 
 const TAKEN_OVER = inDoubt(
   "taken_over",
-  "another host had the request and its end is not known",
+  "another host had the request and its outcome is not known",
 );
 
 const PROGRESS_LOST = inDoubt(
   "progress_lost",
-  "the caller has more of the answer than was kept",
+  "the caller received more of the answer than was retained",
 );
 
 const KEY_REUSED = refused(
   "key_reused",
-  "key, expected a new one for another request",
+  "the key was used for another request, expected a new key",
 );
 
 const VERDICT_OUTCOMES: Readonly<
@@ -355,16 +369,19 @@
   new: () => TAKEN_OVER,
   known: (verdict) =>
     verdict.kind === "known" && verdict.record.status === "done"
-      ? forgottenOutcome("answer_expired")
+      ? evictedOutcome("answer_expired")
       : TAKEN_OVER,
   not_primary: () =>
-    inDoubt("taken_over", "the slot has moved; ask again with the same key"),
+    inDoubt(
+      "taken_over",
+      "the slot has another primary; retry with the same key",
+    ),
   history_lost: () =>
-    inDoubt("slot_history_lost", "both holders of the key were lost"),
+    inDoubt("slot_history_lost", "both hosts that stored the key were lost"),
   key_expired: () =>
-    inDoubt("key_expired", "the key is older than keys are remembered"),
+    inDoubt("key_expired", "the key is older than the retention time of keys"),
   key_time_ahead: () =>
-    refused("key_time_ahead", "time of the key, expected not the future"),
+    refused("key_time_ahead", "the time in the key is in the future"),
 };
 
 const CLAIM_OUTCOMES: Readonly<
--- a/packages/rampswitch-entry/src/outcome/mod.ts
+++ b/packages/rampswitch-entry/src/outcome/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Answers: kept, written to callers, and counted.
+ * Answers: storage, writing to callers, and counters of outcomes.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/outcome/outcome_count.ts
+++ b/packages/rampswitch-entry/src/outcome/outcome_count.ts
@@ -8,7 +8,7 @@
 import type { Outcome } from "rampswitch-types";
 import type { Metrics } from "rampswitch-utils";
 
-/** Counts how a request ended, and why if it failed. */
+/** Counts the outcome of a request, and its reason if it did not complete. */
 export function countOutcome(metrics: Metrics, outcome: Outcome): void {
   metrics.count("outcome", outcome.kind);
   if (outcome.kind === "completed") return;
