--- a/packages/rampswitch-entry/src/choice/backend_directory.ts
+++ b/packages/rampswitch-entry/src/choice/backend_directory.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What one entry host knows of the backend servers: load, health, who is
- * leaving, and which prefixes they hold. Choices are made here.
+ * State of the backend servers on one entry host: load, health, leaving servers
+ * and cached prefixes. Chooses a server for each request.
  *
  * @module
  */
@@ -34,21 +34,25 @@
 } from "rampswitch-utils";
 import type { BackendClient } from "../attempt/backend_client.ts";
 
-const POLL_MILLISECONDS = 500;
-/** Time between two questions to a server that has nothing to do. */
-const IDLE_POLL_MILLISECONDS = 2_000;
-const POLL_DEADLINE_MILLISECONDS = 800;
+/** Mean time between two rounds of polls. */
+const POLL_INTERVAL_MILLISECONDS = 500;
+/** Minimum time between two polls of an idle server. */
+const IDLE_POLL_INTERVAL_MILLISECONDS = 2_000;
+const POLL_TIMEOUT_MILLISECONDS = 800;
 const MAXIMUM_REPLY_BYTES = 1024 * 1024;
-const POLLED_PER_ROUND = 64;
-/** Servers asked in a round where there are too many to ask all. */
-const POLLED_PER_ROUND_OF_MANY = 4;
-const PREFIX_BLOCKS = 100_000;
-const SPEED_KEEP = 0.95;
+/** Number of servers up to which a round polls all of them. */
+const MAXIMUM_POLLED_PER_ROUND = 64;
+/** Servers polled in a round if there are too many to poll all. */
+const MAXIMUM_POLLED_PER_PARTIAL_ROUND = 4;
+const MAXIMUM_PREFIX_BLOCKS = 100_000;
+/** Weight of the former average in the moving average of a token's time. */
+const SPEED_AVERAGE_RETENTION = 0.95;
 
-/** Tokens in a block of the engines' prefix caches. */
+/** Number of tokens in a block of the engines' prefix caches. */
 export const BLOCK_TOKENS = 16;
 
-const FIRST_SPEEDS: ServiceSpeeds = {
+/** Speeds of a service before its first measurement. */
+const INITIAL_SPEEDS: ServiceSpeeds = {
   promptTokenMilliseconds: 0.05,
   tokenMilliseconds: 15,
 };
@@ -58,14 +62,15 @@
 interface ServerState {
   readonly load: ServerLoad;
   readonly health: ServerHealth;
+  /** Sequence number of the last cache event that was read. */
   cacheSequence: number;
-  /** When the server was last asked, in milliseconds since the epoch. */
+  /** Time of the last poll, in milliseconds since the epoch. */
   polledAt: number;
-  /** Whether it had nothing to do when it was last asked. */
-  idleReport: boolean;
+  /** Whether the last report listed neither running nor waiting requests. */
+  reportedIdle: boolean;
 }
 
-/** How a directory is made. */
+/** Options of {@link BackendDirectory}. */
 export interface DirectoryOptions {
   readonly client: BackendClient;
   readonly clock: Clock;
@@ -73,34 +78,34 @@
   readonly metrics: Metrics;
   readonly routing: () => RoutingTable;
   readonly marks: () => LeavingMarks;
-  /** Names of the trusted entry hosts, this one among them. */
+  /** Names of the trusted entry hosts, including this one. */
   readonly hostNames: () => readonly string[];
   readonly selfName: string;
-  /** A backend server said itself that it is leaving. */
+  /** Called when a backend server advertises that it is leaving. */
   readonly onLeaving: (server: BackendServer) => void;
 }
 
-/** The backend servers as one host knows them. */
+/** State of the backend servers on one host. */
 export class BackendDirectory implements AsyncDisposable {
   readonly #options: DirectoryOptions;
   readonly #owned = new Ownership();
   readonly #states = new Map<string, ServerState>();
   readonly #speeds = new Map<string, ServiceSpeeds>();
-  readonly #prefixes = new PrefixIndex(PREFIX_BLOCKS);
-  readonly #unsteady = new Set<string>();
+  readonly #prefixes = new PrefixIndex(MAXIMUM_PREFIX_BLOCKS);
+  readonly #unhealthy = new Set<string>();
   #pollOffset = 0;
 
   constructor(options: DirectoryOptions) {
     this.#options = options;
   }
 
-  /** Starts to read the servers' reports. */
+  /** Starts polling the servers' load and cache events. */
   start(): void {
     const { clock, random } = this.#options;
     this.#owned.own(
       repeat(
         clock,
-        () => jitter(random, POLL_MILLISECONDS),
+        () => jitter(random, POLL_INTERVAL_MILLISECONDS),
         () => this.#poll(),
       ),
     );
@@ -128,7 +133,10 @@
     });
   }
 
-  /** Why a server gets no new work, whatever its load. */
+  /**
+   * Returns why a server gets no new work, regardless of its load; `undefined`
+   * if it may get work.
+   */
   exclusion(server: BackendServer): string | undefined {
     if (server.draining) return "draining";
     return this.#options.marks().has(server.host)
@@ -136,23 +144,24 @@
       : undefined;
   }
 
-  /** Speeds of the service behind a route. */
+  /** Returns the estimated speeds of the service behind a route. */
   speeds(route: Route): ServiceSpeeds {
     const service = route.groups[0]?.candidates[0]?.server.service ?? "";
-    return this.#speeds.get(service) ?? FIRST_SPEEDS;
+    return this.#speeds.get(service) ?? INITIAL_SPEEDS;
   }
 
-  /** Learns from the time of one token of a service. */
+  /** Adds the time of one token to the moving average of a service. */
   learnToken(service: string, milliseconds: number): void {
-    const known = this.#speeds.get(service) ?? FIRST_SPEEDS;
+    const known = this.#speeds.get(service) ?? INITIAL_SPEEDS;
     this.#speeds.set(service, {
       ...known,
       tokenMilliseconds:
-        SPEED_KEEP * known.tokenMilliseconds + (1 - SPEED_KEEP) * milliseconds,
+        SPEED_AVERAGE_RETENTION * known.tokenMilliseconds +
+        (1 - SPEED_AVERAGE_RETENTION) * milliseconds,
     });
   }
 
-  /** Notes that a request goes to a server. */
+  /** Records that a request is sent to a server. */
   sent(
     server: BackendServer,
     request: Pick<ChoiceRequest, "blocks" | "promptTokens">,
@@ -163,44 +172,47 @@
     this.#prefixes.stored(server.name, request.blocks);
   }
 
-  /** Notes that a request to a server ended. */
+  /** Records that a request to a server ended. */
   ended(server: BackendServer, failed: boolean): void {
     const now = this.#options.clock.now();
     const state = this.#state(server.name);
     const before = state.health.state;
     state.load.ended(failed, now);
     state.health.handle({ type: failed ? "failed" : "succeeded", now });
-    if (state.health.steady) this.#unsteady.delete(server.name);
-    else this.#unsteady.add(server.name);
+    if (state.health.steady) this.#unhealthy.delete(server.name);
+    else this.#unhealthy.add(server.name);
     if (state.health.state !== before) {
       this.#options.metrics.count("server_health", state.health.state);
     }
   }
 
-  /** A server said that it is leaving. */
+  /**
+   * Reports that a server advertises that it is leaving, unless its host is
+   * already marked as leaving.
+   */
   saidLeaving(server: BackendServer): void {
     if (!this.#options.marks().has(server.host)) {
       this.#options.onLeaving(server);
     }
   }
 
-  /** Requests of this host in progress at a server. */
+  /** Returns the number of this host's requests in progress at a server. */
   inProgress(server: string): number {
     return this.#state(server).load.inProgress;
   }
 
-  /** Health of a server, for the status page. */
+  /** Returns the health state of a server, for the status page. */
   healthOf(server: string): string {
     return this.#state(server).health.state;
   }
 
-  /** Forgets servers that are no longer configured. */
+  /** Removes the state of all servers but the named ones. */
   keepOnly(names: ReadonlySet<string>): void {
     [...this.#states.keys()]
       .filter((name) => !names.has(name))
       .forEach((name) => {
         this.#states.delete(name);
-        this.#unsteady.delete(name);
+        this.#unhealthy.delete(name);
         this.#prefixes.forget(name);
       });
   }
@@ -217,16 +229,19 @@
       health: new ServerHealth(),
       cacheSequence: 0,
       polledAt: 0,
-      idleReport: false,
+      reportedIdle: false,
     };
     this.#states.set(server, state);
     return state;
   }
 
-  /** Servers that are out after failures; a group keeps at least half. */
+  /**
+   * Returns the servers that are ejected after failures. A group keeps at least
+   * half of its servers, or none of them is ejected.
+   */
   #ejected(route: Route, now: number): ReadonlySet<string> {
-    if (this.#unsteady.size === 0) return NO_SERVERS;
-    const out = [...this.#unsteady].filter(
+    if (this.#unhealthy.size === 0) return NO_SERVERS;
+    const out = [...this.#unhealthy].filter(
       (server) => !this.#state(server).health.admits(now),
     );
     const groups = route.groups.map(({ candidates }) => ({
@@ -240,10 +255,14 @@
     );
   }
 
-  /** Servers whose reports this host reads; the hosts share them out. */
-  #watched(): readonly Candidate[] {
+  /**
+   * Returns the servers that this host polls. If there are too many to poll
+   * all, these are the servers that run its requests and its share by
+   * rendezvous hashing.
+   */
+  #pollCandidates(): readonly Candidate[] {
     const candidates = [...this.#options.routing().candidates.values()];
-    if (candidates.length <= POLLED_PER_ROUND) return candidates;
+    if (candidates.length <= MAXIMUM_POLLED_PER_ROUND) return candidates;
     const names = this.#options.hostNames();
     return candidates.filter(
       ({ server }) =>
@@ -253,16 +272,16 @@
   }
 
   async #poll(): Promise<void> {
-    const watched = this.#watched();
-    const start = this.#pollOffset % Math.max(1, watched.length);
-    const most =
-      watched.length <= POLLED_PER_ROUND
-        ? POLLED_PER_ROUND
-        : POLLED_PER_ROUND_OF_MANY;
-    const round = [...watched.slice(start), ...watched.slice(0, start)].slice(
-      0,
-      most,
-    );
+    const candidates = this.#pollCandidates();
+    const start = this.#pollOffset % Math.max(1, candidates.length);
+    const maximum =
+      candidates.length <= MAXIMUM_POLLED_PER_ROUND
+        ? MAXIMUM_POLLED_PER_ROUND
+        : MAXIMUM_POLLED_PER_PARTIAL_ROUND;
+    const round = [
+      ...candidates.slice(start),
+      ...candidates.slice(0, start),
+    ].slice(0, maximum);
     this.#pollOffset = start + round.length;
     await Promise.all(round.map(({ server }) => this.#pollServer(server)));
   }
@@ -270,8 +289,8 @@
   async #pollServer(server: BackendServer): Promise<void> {
     const state = this.#state(server.name);
     const now = this.#options.clock.now();
-    const idle = state.load.inProgress === 0 && state.idleReport;
-    if (idle && now - state.polledAt < IDLE_POLL_MILLISECONDS) return;
+    const idle = state.load.inProgress === 0 && state.reportedIdle;
+    if (idle && now - state.polledAt < IDLE_POLL_INTERVAL_MILLISECONDS) return;
     state.polledAt = now;
     const isModel =
       this.#options.routing().services.get(server.service)?.type === "model";
@@ -279,7 +298,7 @@
     const load = (await this.#get(server, "/v1/load")) as
       ReportedLoad | undefined;
     if (typeof load?.at === "number") state.load.report(load);
-    state.idleReport = load?.running === 0 && load.waiting === 0;
+    state.reportedIdle = load?.running === 0 && load.waiting === 0;
     const path = `/v1/cache-events?after=${state.cacheSequence}`;
     const cache = (await this.#get(server, path)) as
       { readonly events?: readonly CacheEvent[] } | undefined;
@@ -297,8 +316,8 @@
       path,
       headers: {},
       body: undefined,
-      timeoutMilliseconds: POLL_DEADLINE_MILLISECONDS,
-      signal: AbortSignal.timeout(POLL_DEADLINE_MILLISECONDS),
+      timeoutMilliseconds: POLL_TIMEOUT_MILLISECONDS,
+      signal: AbortSignal.timeout(POLL_TIMEOUT_MILLISECONDS),
     });
     if (reply.isErr) return undefined;
     try {
@@ -310,6 +329,7 @@
   }
 }
 
+/** Change of a server's prefix cache, as the server reports it. */
 interface CacheEvent {
   readonly sequence: number;
   readonly kind: "stored" | "evicted";
--- a/packages/rampswitch-entry/src/choice/mod.ts
+++ b/packages/rampswitch-entry/src/choice/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What this host knows of the backend servers that it chooses from.
+ * State of the backend servers on this host, and the choice among them.
  *
  * @module
  */
