--- a/packages/rampswitch-entry/src/admission/admission_gate.ts
+++ b/packages/rampswitch-entry/src/admission/admission_gate.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Admission of requests on one host: one fair queue per service, with limits
- * that are this host's part of what the service's backend servers can run.
+ * Admission of requests on one host. Each service has a fair queue, whose limit
+ * is this host's share of the capacity of the service's backend servers.
  *
  * @module
  */
@@ -15,44 +15,53 @@
 import { refused, type RefusedNotRun } from "rampswitch-types";
 import { type Clock, type Metrics, Ownership, repeat } from "rampswitch-utils";
 
-/** How a gate is made. */
+/** Options of {@link AdmissionGate}. */
 export interface GateOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly routing: () => RoutingTable;
-  /** Number of trusted entry hosts, this one among them. */
+  /** Returns the number of trusted entry hosts, including this one. */
   readonly hosts: () => number;
+  /** Maximum number of waiting requests per service. */
   readonly queueRequests: number;
 }
 
 interface ServiceQueue {
   readonly admission: Admission;
+  /** Moving average of the predicted tokens of a request. */
   averageTokens: number;
 }
 
-const EXPIRY_MILLISECONDS = 50;
-const LIMITS_MILLISECONDS = 500;
-/** Work that may be on its way beyond what runs at once. */
-const OVERCOMMIT = 1.5;
-const AVERAGE_KEEP = 0.98;
-const FIRST_AVERAGE_TOKENS = 256;
+/** Time between two checks for requests that can't meet their deadline. */
+const EXPIRY_INTERVAL_MILLISECONDS = 50;
+/** Time between two updates of the queues' limits. */
+const LIMIT_UPDATE_INTERVAL_MILLISECONDS = 500;
+/**
+ * Factor by which admitted work may exceed the work that the servers run at
+ * once, since a part of it is still on its way to them.
+ */
+const OVERCOMMIT_FACTOR = 1.5;
+/** Weight of the former average in the moving average of a request's tokens. */
+const TOKEN_AVERAGE_RETENTION = 0.98;
+/** Average tokens of a request before the first request of a service. */
+const INITIAL_AVERAGE_TOKENS = 256;
 
-/** What came of asking: a refusal, or leave to run. */
-export type Admitted = RefusedNotRun | undefined;
+/** Result of an admission: a refusal, or `undefined` if the request may run. */
+export type AdmissionResult = RefusedNotRun | undefined;
 
-/** Admission of one host. */
+/** Admits the requests of all services on one host. */
 export class AdmissionGate implements AsyncDisposable {
   readonly #options: GateOptions;
   readonly #owned = new Ownership();
   readonly #queues = new Map<string, ServiceQueue>();
-  readonly #waiting = new Map<string, (admitted: Admitted) => void>();
+  readonly #waiting = new Map<string, (admitted: AdmissionResult) => void>();
 
   constructor(options: GateOptions) {
     this.#options = options;
     this.#owned.own(
       repeat(
         options.clock,
-        () => EXPIRY_MILLISECONDS,
+        () => EXPIRY_INTERVAL_MILLISECONDS,
         async () => {
           if (this.#waiting.size > 0) this.#expire();
           await Promise.resolve();
@@ -62,7 +71,7 @@
     this.#owned.own(
       repeat(
         options.clock,
-        () => LIMITS_MILLISECONDS,
+        () => LIMIT_UPDATE_INTERVAL_MILLISECONDS,
         async () => {
           this.#setLimits();
           await Promise.resolve();
@@ -71,7 +80,7 @@
     );
   }
 
-  /** Requests that run and wait. */
+  /** Numbers of running and of waiting requests. */
   get counts(): { readonly running: number; readonly waiting: number } {
     return [...this.#queues.values()].reduce(
       (sum, { admission }) => ({
@@ -82,16 +91,17 @@
     );
   }
 
-  /** Requests of a service that wait. */
+  /** Returns the number of waiting requests of a service. */
   waiting(service: string): number {
     return this.#queues.get(service)?.admission.counts.waiting ?? 0;
   }
 
-  /** Asks for leave to run; resolves when it is granted or refused. */
-  ask(service: string, request: AdmissionRequest): Promise<Admitted> {
+  /** Requests admission; resolves when the request is admitted or refused. */
+  ask(service: string, request: AdmissionRequest): Promise<AdmissionResult> {
     const queue = this.#queue(service);
     queue.averageTokens =
-      AVERAGE_KEEP * queue.averageTokens + (1 - AVERAGE_KEEP) * request.tokens;
+      TOKEN_AVERAGE_RETENTION * queue.averageTokens +
+      (1 - TOKEN_AVERAGE_RETENTION) * request.tokens;
     const decision = queue.admission.ask(request, this.#options.clock.now());
     this.#options.metrics.count("admission", decision.kind);
     if (decision.kind === "admitted") return Promise.resolve(undefined);
@@ -99,7 +109,7 @@
     return new Promise((resolve) => this.#waiting.set(request.id, resolve));
   }
 
-  /** Ends a request, running or waiting, and starts the next. */
+  /** Ends a running or waiting request, and starts the next ones. */
   end(service: string, id: string): void {
     const queue = this.#queue(service);
     const now = this.#options.clock.now();
@@ -123,7 +133,7 @@
         tokens: Number.POSITIVE_INFINITY,
         queueRequests: this.#options.queueRequests,
       }),
-      averageTokens: FIRST_AVERAGE_TOKENS,
+      averageTokens: INITIAL_AVERAGE_TOKENS,
     };
     this.#queues.set(service, queue);
     this.#setLimit(service, queue);
@@ -154,7 +164,7 @@
       .routing()
       .serviceCandidates(service)
       .reduce((sum, { server }) => sum + server.concurrency, 0);
-    const tokens = OVERCOMMIT * concurrency * queue.averageTokens;
+    const tokens = OVERCOMMIT_FACTOR * concurrency * queue.averageTokens;
     queue.admission.setLimits({
       tokens: hostShare(tokens, this.#options.hosts()),
       queueRequests: this.#options.queueRequests,
@@ -165,7 +175,7 @@
     queue.admission.next(now).forEach(({ id }) => this.#settle(id, undefined));
   }
 
-  #settle(id: string, admitted: Admitted): void {
+  #settle(id: string, admitted: AdmissionResult): void {
     const resolve = this.#waiting.get(id);
     this.#waiting.delete(id);
     resolve?.(admitted);
--- a/packages/rampswitch-entry/src/admission/mod.ts
+++ b/packages/rampswitch-entry/src/admission/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Whether a request may start, and whether it may be sent again.
+ * Decides whether a request may start and whether it may be sent again.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/admission/retry_decider.ts
+++ b/packages/rampswitch-entry/src/admission/retry_decider.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Retries on one host: one budget for each service, and the wait before each
+ * Retries on one host: a budget for each service, and the wait before each
  * further attempt.
  *
  * @module
@@ -18,7 +18,10 @@
 } from "rampswitch-types";
 import { type Clock, type Metrics, type Random, sleep } from "rampswitch-utils";
 
-/** Reasons of failed attempts after which a retry may help. */
+/**
+ * Retry reasons by the reason of a failed attempt; a retry can't help after any
+ * other reason.
+ */
 const RETRY_REASONS: Readonly<
   Partial<Record<RefusalReason | FailureReason, RetryReason>>
 > = {
@@ -30,14 +33,14 @@
   backend_nonsense: "backend_error",
 };
 
-/** How retries are made. */
+/** Options of {@link RetryDecider}. */
 export interface RetryDeciderOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
 }
 
-/** Retries of all services on one host. */
+/** Decides on the retries of all services on one host. */
 export class RetryDecider {
   readonly #options: RetryDeciderOptions;
   readonly #budgets = new Map<string, RetryBudget>();
@@ -46,17 +49,20 @@
     this.#options = options;
   }
 
-  /** Notes the first attempt of a request. */
+  /** Records the first attempt of a request, which adds to the retry budget. */
   started(service: string): void {
     this.#budget(service).earn();
   }
 
-  /** Whether an outcome is one after which a retry may help. */
+  /** Whether a retry can help after a failure with this reason. */
   mayHelp(reason: RefusalReason | FailureReason): boolean {
     return RETRY_REASONS[reason] !== undefined;
   }
 
-  /** Waits for the next attempt; false where there is to be none. */
+  /**
+   * Waits until the next attempt is due; resolves to false at once if there is
+   * to be none.
+   */
   async again(
     service: string,
     attempt: Omit<FailedAttempt, "reason">,
