--- a/packages/rampswitch-entry/src/outcome/answer_writer_test.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_writer_test.ts
@@ -16,7 +16,7 @@
 const MEBIBYTE = 1024 * 1024;
 
 function answerInDoubt(): Answer {
-  const book = new AnswerCache(
+  const cache = new AnswerCache(
     new ManualClock(),
     createMetrics("test", undefined),
     {
@@ -25,7 +25,7 @@
       retentionMilliseconds: 1_000,
     },
   );
-  const answer = book.open(
+  const answer = cache.open(
     {
       id: "r1.a",
       slot: 1,
