--- a/packages/rampswitch-configuration/src/decisions_test.ts
+++ b/packages/rampswitch-configuration/src/decisions_test.ts
@@ -5,18 +5,18 @@
 import {
   type Freshness,
   type FreshnessInputs,
-  judgeFreshness,
+  evaluateFreshness,
 } from "./freshness.ts";
 import {
   addMarks,
-  endMarks,
+  removeExpiredMarks,
   type LeavingMark,
-  markConcerns,
+  markAppliesTo,
 } from "./leaving_marks.ts";
 import {
   decideLease,
   decideOrder,
-  holds,
+  isLeaseHolder,
   type Lease,
   type LeaseTerms,
   type OrderDecision,
@@ -31,7 +31,7 @@
   mergeDigests,
   silenceLimits,
   suspectSilent,
-  trusted,
+  trustedMembers,
 } from "./membership.ts";
 
 interface FreshnessCase {
@@ -55,7 +55,7 @@
   },
   {
     name: "no contact with peers or the store",
-    facts: { confirmedAt: 0, peersHeard: 0 },
+    facts: { confirmedAt: 0, peersInContact: 0 },
     freshness: "isolated",
   },
   {
@@ -65,23 +65,23 @@
   },
   {
     name: "half of the hosts in contact, without the store",
-    facts: { confirmedAt: 0, peersHeard: 4 },
+    facts: { confirmedAt: 0, peersInContact: 4 },
     freshness: "store_down",
   },
   {
     name: "fewer than half in contact, without the store",
-    facts: { confirmedAt: 0, peersHeard: 3 },
+    facts: { confirmedAt: 0, peersInContact: 3 },
     freshness: "isolated",
   },
   {
     name: "fewer than half in contact, allowed by the settings",
-    facts: { confirmedAt: 0, peersHeard: 3 },
+    facts: { confirmedAt: 0, peersInContact: 3 },
     minorityServes: true,
     freshness: "store_down",
   },
   {
     name: "a single host without the store",
-    facts: { confirmedAt: 0, peersHeard: 0, peersKnown: 0 },
+    facts: { confirmedAt: 0, peersInContact: 0, peersKnown: 0 },
     freshness: "store_down",
   },
 ];
@@ -90,12 +90,12 @@
   test.each(FRESHNESS_CASES)(
     "$name",
     ({ facts, minorityServes = false, freshness }) => {
-      const evaluated = judgeFreshness(
+      const evaluated = evaluateFreshness(
         {
           now: 10_000,
           confirmedAt: 9_000,
           peersKnown: 8,
-          peersHeard: 8,
+          peersInContact: 8,
           peersReachingStore: 0,
           ...facts,
         },
@@ -138,8 +138,8 @@
   test("is not held by a holder that was paused almost until it expires", () => {
     const decision = decideLease(undefined, TERMS);
     const lease = decision.kind === "write" ? decision.lease : undefined;
-    expect(holds(lease, TERMS)).toBe(true);
-    expect(holds(lease, { ...TERMS, now: 114_000 })).toBe(false);
+    expect(isLeaseHolder(lease, TERMS)).toBe(true);
+    expect(isLeaseHolder(lease, { ...TERMS, now: 114_000 })).toBe(false);
   });
 
   test("gets a new epoch when its own holder renews it too late", () => {
@@ -303,7 +303,7 @@
       this.#rates,
     );
     this.#views[host] = suspectSilent(this.#views[host]!, now, {
-      limitOf: () => others,
+      silenceLimitOf: () => others,
     });
     heartbeatTargets(this.#views[host], this.#random, {
       count: this.#rates.peers,
@@ -331,7 +331,7 @@
 }
 
 describe("membership", () => {
-  const after = { limitOf: () => 1_000 };
+  const after = { silenceLimitOf: () => 1_000 };
 
   test("trusts a suspected host again only after two heartbeats", () => {
     const joined = mergeDigests(new Map(), [digest("a")], 0).members;
@@ -342,9 +342,9 @@
       [digest("a", { heartbeat: 3 })],
       2_200,
     );
-    expect(trusted(silent)).toHaveLength(0);
-    expect(trusted(once.members)).toHaveLength(0);
-    expect(trusted(twice.members)).toHaveLength(1);
+    expect(trustedMembers(silent)).toHaveLength(0);
+    expect(trustedMembers(once.members)).toHaveLength(0);
+    expect(trustedMembers(twice.members)).toHaveLength(1);
   });
 
   test("allows a longer silence of each host as the fleet grows", () => {
@@ -409,22 +409,22 @@
     const first = addMarks(new Map(), [mark], 20);
     const sooner = addMarks(first.marks, [{ ...mark, deadline: 50 }], 20);
     const later = addMarks(sooner.marks, [{ ...mark, deadline: 90 }], 20);
-    expect(later.news).toEqual([]);
+    expect(later.newMarks).toEqual([]);
     expect(later.marks.get("h")?.deadline).toBe(50);
   });
 
   test("expires some time after its host and is not added again", () => {
     const dated = { ...mark, deadline: 50 };
     const { marks } = addMarks(new Map(), [dated], 20);
-    expect(endMarks(marks, 60_049).size).toBe(1);
-    expect(endMarks(marks, 60_050).size).toBe(0);
-    expect(addMarks(new Map(), [dated], 60_050).news).toEqual([]);
+    expect(removeExpiredMarks(marks, 60_049).size).toBe(1);
+    expect(removeExpiredMarks(marks, 60_050).size).toBe(0);
+    expect(addMarks(new Map(), [dated], 60_050).newMarks).toEqual([]);
   });
 
   test("does not apply to a later process of the same name", () => {
     const dated = { ...mark, deadline: 50 };
-    expect(markConcerns(dated, 40)).toBe(true);
-    expect(markConcerns(dated, 60)).toBe(false);
-    expect(markConcerns(mark, 60)).toBe(false);
+    expect(markAppliesTo(dated, 40)).toBe(true);
+    expect(markAppliesTo(dated, 60)).toBe(false);
+    expect(markAppliesTo(mark, 60)).toBe(false);
   });
 });
--- a/packages/rampswitch-configuration/src/freshness.ts
+++ b/packages/rampswitch-configuration/src/freshness.ts
@@ -17,7 +17,7 @@
   /** Number of other entry hosts that are expected. */
   readonly peersKnown: number;
   /** Number of other entry hosts from which gossip was received in time. */
-  readonly peersHeard: number;
+  readonly peersInContact: number;
   /** Number of these hosts that reach the store. */
   readonly peersReachingStore: number;
 }
@@ -42,17 +42,17 @@
 export type Freshness = "fresh" | "store_down" | "isolated" | "never";
 
 /** Evaluates the freshness of a host's configuration. */
-export function judgeFreshness(
+export function evaluateFreshness(
   inputs: FreshnessInputs,
   limits: FreshnessLimits,
 ): Freshness {
   if (inputs.confirmedAt === undefined) return "never";
   if (inputs.now - inputs.confirmedAt <= limits.milliseconds) return "fresh";
   if (inputs.peersReachingStore > 0) return "isolated";
-  const groupSize = inputs.peersHeard + 1;
+  const groupSize = inputs.peersInContact + 1;
   const fleetSize = inputs.peersKnown + 1;
   const largeEnough = limits.minorityServes
-    ? inputs.peersHeard > 0 || inputs.peersKnown === 0
+    ? inputs.peersInContact > 0 || inputs.peersKnown === 0
     : groupSize * 2 >= fleetSize;
   return largeEnough ? "store_down" : "isolated";
 }
--- a/packages/rampswitch-configuration/src/lease.ts
+++ b/packages/rampswitch-configuration/src/lease.ts
@@ -75,7 +75,10 @@
  * Whether this host may act under a lease now. The lease ends early by the clock
  * skew, so that no other host can hold it already.
  */
-export function holds(lease: Lease | undefined, terms: LeaseTerms): boolean {
+export function isLeaseHolder(
+  lease: Lease | undefined,
+  terms: LeaseTerms,
+): boolean {
   return (
     lease?.holder === terms.self &&
     terms.now < lease.expiresAt - terms.clockSkewMilliseconds
@@ -134,7 +137,7 @@
   },
 ): OrderDecision {
   const { contract, terms } = options;
-  if (!holds(lease, terms)) return { kind: "withhold" };
+  if (!isLeaseHolder(lease, terms)) return { kind: "withhold" };
   if (contract.checksOrderEpoch || HARMLESS_WHEN_LATE[kind]) {
     return { kind: "send" };
   }
--- a/packages/rampswitch-configuration/src/leaving_marks.ts
+++ b/packages/rampswitch-configuration/src/leaving_marks.ts
@@ -38,7 +38,7 @@
 /** All marks after an update, and the marks that changed them. */
 export interface MarkUpdate {
   readonly marks: LeavingMarks;
-  readonly news: readonly LeavingMark[];
+  readonly newMarks: readonly LeavingMark[];
 }
 
 /** Validity of a mark without a deadline; sources report it again in this time. */
@@ -54,7 +54,7 @@
 }
 
 /** Whether a mark applies to a process that started at a given time. */
-export function markConcerns(mark: LeavingMark, startedAt: number): boolean {
+export function markAppliesTo(mark: LeavingMark, startedAt: number): boolean {
   return (mark.deadline ?? mark.since) > startedAt;
 }
 
@@ -73,7 +73,7 @@
     .filter((mark) =>
       changesMark(currentMark(marks.get(mark.host), now), mark),
     );
-  if (changes.length === 0) return { marks, news: changes };
+  if (changes.length === 0) return { marks, newMarks: changes };
   const next = new Map(marks);
   changes.forEach((mark) =>
     next.set(
@@ -81,11 +81,14 @@
       mergeMarks(currentMark(next.get(mark.host), now), mark),
     ),
   );
-  return { marks: next, news: changes };
+  return { marks: next, newMarks: changes };
 }
 
 /** Removes expired marks. */
-export function endMarks(marks: LeavingMarks, now: number): LeavingMarks {
+export function removeExpiredMarks(
+  marks: LeavingMarks,
+  now: number,
+): LeavingMarks {
   const anyExpired = [...marks.values()].some(
     (mark) => markExpiresAt(mark) <= now,
   );
--- a/packages/rampswitch-configuration/src/membership.ts
+++ b/packages/rampswitch-configuration/src/membership.ts
@@ -29,9 +29,9 @@
 export interface Member {
   readonly digest: HostDigest;
   /** Local time at which a higher heartbeat was last received. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
   /** Number of higher heartbeats received since it was last suspected. */
-  readonly growths: number;
+  readonly heartbeatsSinceSuspected: number;
   readonly suspected: boolean;
 }
 
@@ -88,14 +88,19 @@
   now: number,
 ): Member {
   if (known === undefined) {
-    return { digest, heardAt: now, growths: 1, suspected: false };
+    return {
+      digest,
+      receivedAt: now,
+      heartbeatsSinceSuspected: 1,
+      suspected: false,
+    };
   }
   if (digest.heartbeat <= known.digest.heartbeat) return known;
-  const growths = known.growths + 1;
+  const growths = known.heartbeatsSinceSuspected + 1;
   return {
     digest,
-    heardAt: now,
-    growths,
+    receivedAt: now,
+    heartbeatsSinceSuspected: growths,
     suspected: known.suspected && growths < HEARTBEATS_TO_TRUST,
   };
 }
@@ -104,12 +109,12 @@
 export function suspectSilent(
   members: Members,
   now: number,
-  options: { readonly limitOf: (host: HostId) => number },
+  options: { readonly silenceLimitOf: (host: HostId) => number },
 ): Members {
   const silent = [...members.values()].filter(
     (member) =>
       !member.suspected &&
-      now - member.heardAt > options.limitOf(member.digest.host.id),
+      now - member.receivedAt > options.silenceLimitOf(member.digest.host.id),
   );
   if (silent.length === 0) return members;
   const next = new Map(members);
@@ -117,7 +122,7 @@
     next.set(member.digest.host.id, {
       ...member,
       suspected: true,
-      growths: 0,
+      heartbeatsSinceSuspected: 0,
     }),
   );
   return next;
@@ -180,20 +185,20 @@
 }
 
 /** Removes members that have been silent for longer than a limit. */
-export function forgetSilent(
+export function removeSilent(
   members: Members,
   now: number,
   options: { readonly afterMilliseconds: number },
 ): Members {
   return new Map(
     [...members].filter(
-      ([, member]) => now - member.heardAt <= options.afterMilliseconds,
+      ([, member]) => now - member.receivedAt <= options.afterMilliseconds,
     ),
   );
 }
 
 /** Members that are not suspected. */
-export function trusted(members: Members): readonly Member[] {
+export function trustedMembers(members: Members): readonly Member[] {
   return [...members.values()].filter(({ suspected }) => !suspected);
 }
 
@@ -238,7 +243,7 @@
 ): readonly HostDigest[] {
   const recent = [...members.values()]
     .filter(({ suspected }) => !suspected)
-    .toSorted((left, right) => right.heardAt - left.heardAt);
+    .toSorted((left, right) => right.receivedAt - left.receivedAt);
   const newest = recent.slice(0, Math.ceil(options.count / 2));
   const rest = sample(
     recent.slice(newest.length),
@@ -249,11 +254,14 @@
 }
 
 /** A member's digest; its age includes the time since it was received. */
-function withCurrentAge({ digest, heardAt }: Member, now: number): HostDigest {
+function withCurrentAge(
+  { digest, receivedAt }: Member,
+  now: number,
+): HostDigest {
   return digest.confirmedAge < 0
     ? digest
     : {
         ...digest,
-        confirmedAge: digest.confirmedAge + (now - heardAt),
+        confirmedAge: digest.confirmedAge + (now - receivedAt),
       };
 }
--- a/packages/rampswitch-configuration/src/order_plan.ts
+++ b/packages/rampswitch-configuration/src/order_plan.ts
@@ -40,7 +40,7 @@
 export function planOrders(
   service: Service,
   servers: readonly BackendServer[],
-  options: { readonly done: AnsweredOrders; readonly atOnce: number },
+  options: { readonly done: AnsweredOrders; readonly maximumOrders: number },
 ): readonly DueOrder[] {
   return servers
     .flatMap((server) =>
@@ -50,5 +50,5 @@
       }),
     )
     .filter((order) => !options.done.has(orderKey(order)))
-    .slice(0, options.atOnce);
+    .slice(0, options.maximumOrders);
 }
--- a/packages/rampswitch-configuration/src/reference_check.ts
+++ b/packages/rampswitch-configuration/src/reference_check.ts
@@ -69,7 +69,7 @@
     .filter(({ service }) => service === edit.name)
     .map(
       ({ name }) =>
-        `Service/${edit.name}: BackendServer/${name} refers to it, ` +
+        `Service/${edit.name}: BackendServer/${name} names it, ` +
         "expected no such backend server",
     );
 }
--- a/packages/rampswitch-entry/src/admission/admission_gate.ts
+++ b/packages/rampswitch-entry/src/admission/admission_gate.ts
@@ -97,12 +97,12 @@
   }
 
   /** Requests admission; resolves when the request is admitted or refused. */
-  ask(service: string, request: AdmissionRequest): Promise<AdmissionResult> {
+  admit(service: string, request: AdmissionRequest): Promise<AdmissionResult> {
     const queue = this.#queue(service);
     queue.averageTokens =
       TOKEN_AVERAGE_RETENTION * queue.averageTokens +
       (1 - TOKEN_AVERAGE_RETENTION) * request.tokens;
-    const decision = queue.admission.ask(request, this.#options.clock.now());
+    const decision = queue.admission.submit(request, this.#options.clock.now());
     this.#options.metrics.count("admission", decision.kind);
     if (decision.kind === "admitted") return Promise.resolve(undefined);
     if (decision.kind === "refused") return Promise.resolve(decision.outcome);
--- a/packages/rampswitch-entry/src/admission/retry_decider.ts
+++ b/packages/rampswitch-entry/src/admission/retry_decider.ts
@@ -50,12 +50,12 @@
   }
 
   /** Records the first attempt of a request, which adds to the retry budget. */
-  started(service: string): void {
+  recordFirstAttempt(service: string): void {
     this.#budget(service).earn();
   }
 
   /** Whether a retry can help after a failure with this reason. */
-  mayHelp(reason: RefusalReason | FailureReason): boolean {
+  isRetryable(reason: RefusalReason | FailureReason): boolean {
     return RETRY_REASONS[reason] !== undefined;
   }
 
@@ -63,7 +63,7 @@
    * Waits until the next attempt is due; resolves to false at once if there is
    * to be none.
    */
-  async again(
+  async waitForRetry(
     service: string,
     attempt: Omit<FailedAttempt, "reason">,
   ): Promise<boolean> {
--- a/packages/rampswitch-entry/src/attempt/backend_client.ts
+++ b/packages/rampswitch-entry/src/attempt/backend_client.ts
@@ -77,7 +77,7 @@
   }
 
   /** Closes the pools of all servers but those at the given addresses. */
-  keepOnly(addresses: ReadonlySet<string>): void {
+  closePoolsExcept(addresses: ReadonlySet<string>): void {
     [...this.#pools]
       .filter(([address]) => !addresses.has(address))
       .forEach(([address, pool]) => {
--- a/packages/rampswitch-entry/src/attempt/chat_runner.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_runner.ts
@@ -10,7 +10,7 @@
 import {
   type Choice,
   type FailedAttempt,
-  planMove,
+  planMigration,
   type RoutingTable,
 } from "rampswitch-policy";
 import {
@@ -95,7 +95,7 @@
       return;
     }
     this.#runs.set(answer.envelope.id, run);
-    this.#options.retries.started(run.service.name);
+    this.#options.retries.recordFirstAttempt(run.service.name);
     const outcome = await this.#runAttempts(run);
     this.#runs.delete(answer.envelope.id);
     this.#end(answer, outcome);
@@ -181,14 +181,14 @@
     >,
   ): Promise<Outcome | undefined> {
     const { retries } = this.#options;
-    if (run.cancelled || !retries.mayHelp(outcome.reason)) {
+    if (run.cancelled || !retries.isRetryable(outcome.reason)) {
       return outcomeWithCertainty(run, outcome);
     }
     if (run.server !== undefined) run.avoid.add(run.server.name);
-    const again = await retries.again(run.service.name, {
+    const again = await retries.waitForRetry(run.service.name, {
       outcome,
       repeatable: run.repeatable,
-      attempts: run.failuresSinceProgress,
+      attemptsWithoutProgress: run.failuresSinceProgress,
       ...facts,
     });
     return again ? undefined : outcomeWithCertainty(run, outcome);
@@ -236,13 +236,13 @@
       server: server.name,
     });
     if (run.attempts > 1) this.#countRecomputed(run);
-    directory.sent(server, run.request);
+    directory.recordSent(server, run.request);
     const outcome = await this.#engineAttempt(run, server, {
       timeoutMilliseconds: Math.min(remaining, run.service.timeoutMilliseconds),
       body: engineBody(run.request, delivered),
     });
     const broken = outcome.kind !== "completed" && !run.abort.signal.aborted;
-    directory.ended(server, broken);
+    directory.recordEnded(server, broken);
     return outcome;
   }
 
@@ -271,7 +271,7 @@
       {
         metrics,
         listener: {
-          leaving: () => directory.saidLeaving(server),
+          leaving: () => directory.reportLeaving(server),
           tokens: async (first, texts) => {
             if (run.attempt !== attempt || run.abort.signal.aborted) {
               metrics.count("drop", "former_attempt", texts.length);
@@ -279,7 +279,7 @@
             }
             const now = clock.now();
             if (lastAt !== undefined) {
-              directory.learnToken(
+              directory.observeTokenTime(
                 run.service.name,
                 (now - lastAt) / texts.length,
               );
@@ -331,7 +331,7 @@
     const plan =
       to === undefined || to === from
         ? "finish"
-        : planMove({
+        : planMigration({
             remainingMilliseconds:
               mark.deadline === undefined
                 ? undefined
@@ -339,7 +339,7 @@
             remainingTokens,
             tokenMilliseconds: directory.speeds(route).tokenMilliseconds,
             repeatable: run.repeatable,
-            movesCache:
+            canMigrateCache:
               from.contract.movesKeyValueCache &&
               to.contract.movesKeyValueCache,
           });
--- a/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
@@ -197,7 +197,7 @@
   for (let round = 0; round < SERVER_COUNT; round += 1) {
     await settle();
     duringWait();
-    clock.advance(RETRY_LIMITS.longestWaitMilliseconds);
+    clock.advance(RETRY_LIMITS.maximumWaitMilliseconds);
   }
 }
 
@@ -220,8 +220,8 @@
     await run;
     const totals = metrics.totals();
     expect(answer.outcome).toMatchObject({ reason: "backend_lost" });
-    expect(client.sends).toHaveLength(RETRY_LIMITS.attempts);
-    expect(totals["retry.backend_lost"]).toBe(RETRY_LIMITS.attempts - 1);
+    expect(client.sends).toHaveLength(RETRY_LIMITS.maximumAttempts);
+    expect(totals["retry.backend_lost"]).toBe(RETRY_LIMITS.maximumAttempts - 1);
     expect(totals["retry.backend_reclaimed"]).toBeUndefined();
   });
 
@@ -233,7 +233,7 @@
     reclaim("engine-0");
     await advanceThroughWaits(clock);
     await run;
-    expect(client.sends).toHaveLength(RETRY_LIMITS.attempts);
+    expect(client.sends).toHaveLength(RETRY_LIMITS.maximumAttempts);
   });
 });
 
--- a/packages/rampswitch-entry/src/attempt/engine_calls.ts
+++ b/packages/rampswitch-entry/src/attempt/engine_calls.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import { CACHE_MOVE_MILLISECONDS } from "rampswitch-policy";
+import { MAXIMUM_CACHE_MIGRATION_MILLISECONDS } from "rampswitch-policy";
 import type { BackendServer } from "rampswitch-types";
 import type { BackendClient } from "./backend_client.ts";
 
@@ -28,8 +28,8 @@
     path: "/v1/kv",
     headers: { "content-type": "application/json" },
     body: Buffer.from(JSON.stringify({ from: from.address, attempt })),
-    timeoutMilliseconds: CACHE_MOVE_MILLISECONDS,
-    signal: AbortSignal.timeout(CACHE_MOVE_MILLISECONDS),
+    timeoutMilliseconds: MAXIMUM_CACHE_MIGRATION_MILLISECONDS,
+    signal: AbortSignal.timeout(MAXIMUM_CACHE_MIGRATION_MILLISECONDS),
   });
   if (reply.isErr) return false;
   await reply.value.body.dump().catch(() => undefined);
@@ -47,7 +47,7 @@
     path: `/v1/attempts/${encodeURIComponent(attempt)}`,
     headers: {},
     body: undefined,
-    timeoutMilliseconds: CACHE_MOVE_MILLISECONDS,
+    timeoutMilliseconds: MAXIMUM_CACHE_MIGRATION_MILLISECONDS,
   });
   if (reply.isOk) await reply.value.body.dump().catch(() => undefined);
 }
--- a/packages/rampswitch-entry/src/attempt/http_forward.ts
+++ b/packages/rampswitch-entry/src/attempt/http_forward.ts
@@ -16,7 +16,7 @@
 >;
 
 /** Headers to forward: all but hop-by-hop headers and those in `drop`. */
-export function passedHeaders(
+export function forwardedHeaders(
   headers: IncomingHttpHeaders,
   options: {
     readonly drop?: readonly string[];
@@ -40,14 +40,14 @@
  * The caller's connection is then closed, so that the caller can't mistake a
  * partial answer for a complete one.
  */
-export async function passAnswer(
+export async function forwardAnswer(
   reply: BackendReply,
   response: ServerResponse,
   added: Readonly<Record<string, string>>,
 ): Promise<boolean> {
   response.writeHead(
     reply.statusCode,
-    passedHeaders(reply.headers, { add: added }) as Record<
+    forwardedHeaders(reply.headers, { add: added }) as Record<
       string,
       string | string[]
     >,
--- a/packages/rampswitch-entry/src/attempt/plain_runner.ts
+++ b/packages/rampswitch-entry/src/attempt/plain_runner.ts
@@ -24,8 +24,8 @@
 import type { BackendDirectory } from "../choice/backend_directory.ts";
 import {
   type ForwardedHeaders,
-  passAnswer,
-  passedHeaders,
+  forwardAnswer,
+  forwardedHeaders,
 } from "./http_forward.ts";
 import { countOutcome } from "../outcome/outcome_count.ts";
 import type { ProblemOutcome } from "../intake/problem.ts";
@@ -116,7 +116,7 @@
       const end = await this.#runAttempts(call);
       const { reply, server, outcome } = end;
       if (reply === undefined || server === undefined) return outcome;
-      const whole = await passAnswer(reply, response, {
+      const whole = await forwardAnswer(reply, response, {
         "x-request-id": call.requestId,
       });
       this.#ended(server, reply.statusCode >= MINIMUM_ERROR_STATUS || !whole);
@@ -146,7 +146,7 @@
     }
     const head = JSON.stringify({
       status: reply.statusCode,
-      headers: passedHeaders(reply.headers, { drop: ["content-length"] }),
+      headers: forwardedHeaders(reply.headers, { drop: ["content-length"] }),
     });
     try {
       await replication.progressed(answer, 0, [head]);
@@ -167,7 +167,7 @@
     const avoid = new Set<string>();
     let mayHaveRun = false;
     let last: ProblemOutcome | undefined;
-    retries.started(call.service.name);
+    retries.recordFirstAttempt(call.service.name);
     for (let attempts = 1; attempts <= MAXIMUM_ATTEMPTS; attempts += 1) {
       const remaining = call.deadline - clock.now();
       const end =
@@ -187,13 +187,13 @@
       };
       last = outcome;
       const isLast = server === undefined || isBodyConsumed(call);
-      if (isLast || !retries.mayHelp(outcome.reason)) return final;
+      if (isLast || !retries.isRetryable(outcome.reason)) return final;
       avoid.add(server.name);
-      const again = await retries.again(call.service.name, {
+      const again = await retries.waitForRetry(call.service.name, {
         outcome,
         mayHaveRunBefore,
         repeatable: call.repeatable,
-        attempts,
+        attemptsWithoutProgress: attempts,
         remainingMilliseconds: remaining,
       });
       if (!again) return final;
@@ -217,7 +217,7 @@
         ),
       };
     }
-    directory.sent(server, { blocks: [], promptTokens: ASSUMED_TOKENS });
+    directory.recordSent(server, { blocks: [], promptTokens: ASSUMED_TOKENS });
     const timeoutMilliseconds = Math.min(
       options.remaining,
       call.service.timeoutMilliseconds,
@@ -246,7 +246,7 @@
     reply: BackendReply,
   ): Promise<Partial<AttemptResult>> {
     if (reply.headers["x-leaving"] === "true") {
-      this.#options.directory.saidLeaving(server);
+      this.#options.directory.reportLeaving(server);
     }
     const notRun =
       reply.statusCode === REFUSAL_STATUS &&
@@ -276,7 +276,7 @@
   }
 
   #ended(server: BackendServer, broken: boolean): void {
-    this.#options.directory.ended(server, broken);
+    this.#options.directory.recordEnded(server, broken);
   }
 }
 
@@ -311,11 +311,11 @@
 }
 
 /** Reads the head of a retained answer. */
-export function keptHead(event: string): RetainedHead {
+export function readRetainedHead(event: string): RetainedHead {
   return JSON.parse(event) as RetainedHead;
 }
 
 /** Reads a part of a retained answer's body. */
-export function keptPart(event: string): Buffer {
+export function readRetainedPart(event: string): Buffer {
   return Buffer.from(event, "base64");
 }
--- a/packages/rampswitch-entry/src/choice/backend_directory.ts
+++ b/packages/rampswitch-entry/src/choice/backend_directory.ts
@@ -12,14 +12,14 @@
   type Choice,
   choose,
   type ChoiceRequest,
-  mayEject,
+  isEjectionAllowed,
   PrefixIndex,
   type ReportedLoad,
   type Route,
   type RoutingTable,
   ServerHealth,
   ServerLoad,
-  serverIn,
+  includesServer,
   type ServiceSpeeds,
 } from "rampswitch-policy";
 import type { BackendServer } from "rampswitch-types";
@@ -124,7 +124,7 @@
       blockTokens: BLOCK_TOKENS,
       speeds: this.speeds(route),
       load: (server) => this.#state(server).load.estimate(now, hosts),
-      excluded: (candidate) =>
+      exclusionReason: (candidate) =>
         this.exclusion(candidate.server) ??
         (ejected.has(candidate.server.name)
           ? "ejected after failures"
@@ -151,7 +151,7 @@
   }
 
   /** Adds the time of one token to the moving average of a service. */
-  learnToken(service: string, milliseconds: number): void {
+  observeTokenTime(service: string, milliseconds: number): void {
     const known = this.#speeds.get(service) ?? INITIAL_SPEEDS;
     this.#speeds.set(service, {
       ...known,
@@ -162,7 +162,7 @@
   }
 
   /** Records that a request is sent to a server. */
-  sent(
+  recordSent(
     server: BackendServer,
     request: Pick<ChoiceRequest, "blocks" | "promptTokens">,
   ): void {
@@ -173,7 +173,7 @@
   }
 
   /** Records that a request to a server ended. */
-  ended(server: BackendServer, failed: boolean): void {
+  recordEnded(server: BackendServer, failed: boolean): void {
     const now = this.#options.clock.now();
     const state = this.#state(server.name);
     const before = state.health.state;
@@ -190,7 +190,7 @@
    * Reports that a server advertises that it is leaving, unless its host is
    * already marked as leaving.
    */
-  saidLeaving(server: BackendServer): void {
+  reportLeaving(server: BackendServer): void {
     if (!this.#options.marks().has(server.host)) {
       this.#options.onLeaving(server);
     }
@@ -213,7 +213,7 @@
       .forEach((name) => {
         this.#states.delete(name);
         this.#unhealthy.delete(name);
-        this.#prefixes.forget(name);
+        this.#prefixes.removeServer(name);
       });
   }
 
@@ -246,11 +246,11 @@
     );
     const groups = route.groups.map(({ candidates }) => ({
       size: candidates.length,
-      out: out.filter((name) => serverIn(candidates, name)),
+      out: out.filter((name) => includesServer(candidates, name)),
     }));
     return new Set(
       groups.flatMap((group) =>
-        mayEject(group.out.length, group.size) ? group.out : [],
+        isEjectionAllowed(group.out.length, group.size) ? group.out : [],
       ),
     );
   }
@@ -297,7 +297,7 @@
     if (!isModel) return;
     const load = (await this.#get(server, "/v1/load")) as
       ReportedLoad | undefined;
-    if (typeof load?.at === "number") state.load.report(load);
+    if (typeof load?.at === "number") state.load.applyReport(load);
     state.reportedIdle = load?.running === 0 && load.waiting === 0;
     const path = `/v1/cache-events?after=${state.cacheSequence}`;
     const cache = (await this.#get(server, path)) as
--- a/packages/rampswitch-entry/src/duties/capacity_service.ts
+++ b/packages/rampswitch-entry/src/duties/capacity_service.ts
@@ -10,8 +10,8 @@
 import type { Edit, Lease } from "rampswitch-configuration";
 import {
   type CapacityAction,
-  type CapacityMemory,
-  NO_CAPACITY_MEMORY,
+  type CapacityPlanState,
+  INITIAL_CAPACITY_PLAN_STATE,
   planCapacity,
   type PlannedClass,
   type PlannedHost,
@@ -62,7 +62,7 @@
   readonly #options: CapacityServiceOptions;
   readonly #refusedUntil = new Map<string, number>();
   readonly #drainedAt = new Map<string, number>();
-  #memory: CapacityMemory = NO_CAPACITY_MEMORY;
+  #memory: CapacityPlanState = INITIAL_CAPACITY_PLAN_STATE;
 
   constructor(service: Service, options: CapacityServiceOptions) {
     this.#service = service;
@@ -95,7 +95,7 @@
       },
       this.#memory,
     );
-    this.#memory = plan.memory;
+    this.#memory = plan.state;
     metrics.gauge("capacity_missing", plan.missing);
     await Promise.all(
       plan.actions.map(async (action, index) => {
--- a/packages/rampswitch-entry/src/duties/control_service.ts
+++ b/packages/rampswitch-entry/src/duties/control_service.ts
@@ -100,7 +100,7 @@
       .filter(({ dataHall }) => dataHall === self.dataHall);
     const wanted = planOrders(service, servers, {
       done: new Set(),
-      atOnce: 1,
+      maximumOrders: 1,
     });
     const name = `orders/${service.name}/${self.dataHall}`;
     if (wanted.length === 0 || !this.#contends(name, self.dataHall)) return;
@@ -110,7 +110,7 @@
     this.#enter(territory, lease);
     const due = planOrders(service, servers, {
       done: territory.done,
-      atOnce: ORDERS_AT_ONCE,
+      maximumOrders: ORDERS_AT_ONCE,
     });
     await Promise.all(due.map((order) => this.#order(territory, order)));
   }
--- a/packages/rampswitch-entry/src/duties/lease_keeper.ts
+++ b/packages/rampswitch-entry/src/duties/lease_keeper.ts
@@ -7,7 +7,7 @@
  */
 import {
   decideLease,
-  holds,
+  isLeaseHolder,
   type Lease,
   type LeaseTerms,
 } from "rampswitch-configuration";
@@ -45,7 +45,7 @@
 
   /** The lease, while this host holds it. */
   get held(): Lease | undefined {
-    return holds(this.#lease, this.terms) ? this.#lease : undefined;
+    return isLeaseHolder(this.#lease, this.terms) ? this.#lease : undefined;
   }
 
   /** The terms at this moment. */
--- a/packages/rampswitch-entry/src/entry_process.ts
+++ b/packages/rampswitch-entry/src/entry_process.ts
@@ -8,9 +8,9 @@
  */
 import {
   type Freshness,
-  judgeFreshness,
+  evaluateFreshness,
   type LeavingMark,
-  markConcerns,
+  markAppliesTo,
   TAKES_NEW_WORK,
 } from "rampswitch-configuration";
 import { refused } from "rampswitch-types";
@@ -92,12 +92,12 @@
       ({ digest }) => !membership.isGone(digest.host.id),
     );
     const heard = members.filter(({ suspected }) => !suspected);
-    return judgeFreshness(
+    return evaluateFreshness(
       {
         now,
         confirmedAt: configuration.confirmedAt,
         peersKnown: members.length,
-        peersHeard: heard.length,
+        peersInContact: heard.length,
         peersReachingStore: heard.filter(({ digest }) => digest.reachesStore)
           .length,
       },
@@ -219,7 +219,7 @@
     takeLeaving(this.#parts, news);
     const { name, startedAt } = this.#parts.self;
     const own = news.some(
-      (mark) => mark.host === name && markConcerns(mark, startedAt),
+      (mark) => mark.host === name && markAppliesTo(mark, startedAt),
     );
     if (own) void this.stop();
   }
--- a/packages/rampswitch-entry/src/intake/administration_server.ts
+++ b/packages/rampswitch-entry/src/intake/administration_server.ts
@@ -256,7 +256,7 @@
       keys: slots.keys,
       answers: book.size,
       members: [...membership.members.values()].map(
-        ({ digest, suspected, heardAt }) => ({
+        ({ digest, suspected, receivedAt: heardAt }) => ({
           id: digest.host.id,
           name: digest.host.name,
           dataHall: digest.host.dataHall,
--- a/packages/rampswitch-entry/src/intake/caller_server.ts
+++ b/packages/rampswitch-entry/src/intake/caller_server.ts
@@ -21,7 +21,7 @@
   type Exchange,
   readsEarlierAnswer,
   refuse,
-  refuseUnjudged,
+  refuseWithEarlierUnknown,
   REQUESTS_PATH,
 } from "./exchange.ts";
 import type { ProblemOutcome } from "./problem.ts";
@@ -135,7 +135,7 @@
       return;
     }
     const refusal = this.#options.refusal() ?? caller.error;
-    refuseUnjudged({ request, response, url }, refusal, metrics);
+    refuseWithEarlierUnknown({ request, response, url }, refusal, metrics);
   }
 
   async #route(exchange: Exchange): Promise<void> {
@@ -149,7 +149,8 @@
     const refusal = readsEarlierAnswer(exchange)
       ? undefined
       : this.#options.refusal();
-    if (refusal !== undefined) refuseUnjudged(exchange, refusal, metrics);
+    if (refusal !== undefined)
+      refuseWithEarlierUnknown(exchange, refusal, metrics);
     else if (route !== undefined) await route.handle(exchange);
     else {
       const detail =
@@ -161,7 +162,7 @@
 
   async #readAnswer(exchange: Exchange): Promise<void> {
     const id = exchange.url.pathname.slice(REQUESTS_PATH.length);
-    await this.#options.kept.again(exchange, decodePathSegment(id));
+    await this.#options.kept.readAnswer(exchange, decodePathSegment(id));
   }
 
   readonly #unauthenticatedPaths: Readonly<
--- a/packages/rampswitch-entry/src/intake/chat_request.ts
+++ b/packages/rampswitch-entry/src/intake/chat_request.ts
@@ -161,7 +161,7 @@
 }
 
 /** Formats one token as a server-sent event for the caller. */
-export function callerEvent(
+export function formatTokenEvent(
   id: string,
   model: string,
   event: { readonly index: number; readonly text: string },
@@ -182,7 +182,7 @@
 }
 
 /** Formats the last events of a caller's stream. */
-export function callerEnd(id: string, model: string): string {
+export function formatStreamEnd(id: string, model: string): string {
   const chunk = {
     id,
     object: "chat.completion.chunk",
@@ -193,7 +193,7 @@
 }
 
 /** Formats the body of an answer that is not streamed. */
-export function wholeAnswer(
+export function formatWholeAnswer(
   id: string,
   model: string,
   events: readonly string[],
--- a/packages/rampswitch-entry/src/intake/entry_listeners.ts
+++ b/packages/rampswitch-entry/src/intake/entry_listeners.ts
@@ -12,7 +12,7 @@
 import { BackendClient } from "../attempt/backend_client.ts";
 import { CallerServer } from "./caller_server.ts";
 import type { EntryParts } from "../entry_parts.ts";
-import { KeptRequests } from "../outcome/kept_requests.ts";
+import { RetainedRequests } from "../outcome/retained_requests.ts";
 import { peerHandlers } from "../replication/peer_handlers.ts";
 import { PrimaryForwarding } from "../replication/primary_forwarding.ts";
 import type { ProblemOutcome } from "./problem.ts";
@@ -97,9 +97,9 @@
     callerAddressOf: (host) => membership.find(host)?.digest.host.callerAddress,
     idleMilliseconds: settings.limits.stopMilliseconds,
   });
-  const keptRequests = new KeptRequests({
+  const keptRequests = new RetainedRequests({
     ...shared,
-    hop: primaryForwarding,
+    primaryForwarding: primaryForwarding,
     trusts: (host) => membership.trusts(host),
   });
   return new CallerServer({
--- a/packages/rampswitch-entry/src/intake/exchange.ts
+++ b/packages/rampswitch-entry/src/intake/exchange.ts
@@ -59,14 +59,14 @@
  * Refuses a request before its idempotency key or request id, if it has one,
  * was looked up. An earlier send with the same key or id may have run.
  */
-export function refuseUnjudged(
+export function refuseWithEarlierUnknown(
   exchange: Omit<Exchange, "caller">,
   outcome: ProblemOutcome,
   metrics: Metrics,
 ): void {
   refuse(exchange.response, outcome, {
     metrics,
-    earlierNotJudged:
+    earlierUnknown:
       exchange.request.headers[IDEMPOTENCY_KEY_HEADER] !== undefined ||
       readsEarlierAnswer(exchange),
   });
@@ -85,7 +85,7 @@
   if (body.error === "too_large") {
     exchange.response.setHeader("connection", "close");
     const detail = `body, expected at most ${options.bodyBytes} bytes`;
-    refuseUnjudged(
+    refuseWithEarlierUnknown(
       exchange,
       refused("body_too_large", detail),
       options.metrics,
@@ -105,7 +105,7 @@
 ): Service | undefined {
   const service = options.routing().services.get(wanted.name);
   if (service?.type === wanted.type) return service;
-  refuseUnjudged(
+  refuseWithEarlierUnknown(
     exchange,
     refused(
       "unknown_service",
--- a/packages/rampswitch-entry/src/intake/problem.ts
+++ b/packages/rampswitch-entry/src/intake/problem.ts
@@ -83,7 +83,7 @@
    * Whether an earlier send with the same key or id may have run: it was not
    * looked up, or not found, so its outcome is unknown.
    */
-  readonly earlierNotJudged?: boolean;
+  readonly earlierUnknown?: boolean;
 }
 
 /** Builds the problem document of an outcome. */
@@ -101,7 +101,7 @@
     status,
     detail: outcome.detail,
     ran:
-      options.earlierNotJudged === true
+      options.earlierUnknown === true
         ? "unknown"
         : RAN_BY_OUTCOME[outcome.kind],
     reason: outcome.reason,
--- a/packages/rampswitch-entry/src/intake/work_intake.ts
+++ b/packages/rampswitch-entry/src/intake/work_intake.ts
@@ -24,10 +24,10 @@
   findExchangeService,
   readExchangeBody,
   refuse,
-  refuseUnjudged,
+  refuseWithEarlierUnknown,
 } from "./exchange.ts";
-import { passedHeaders } from "../attempt/http_forward.ts";
-import type { KeptRequests } from "../outcome/kept_requests.ts";
+import { forwardedHeaders } from "../attempt/http_forward.ts";
+import type { RetainedRequests } from "../outcome/retained_requests.ts";
 import {
   type PlainCall,
   plainRepeatable,
@@ -40,7 +40,7 @@
   readonly chat: ChatRunner;
   readonly plain: PlainRunner;
   readonly directory: BackendDirectory;
-  readonly kept: KeptRequests;
+  readonly kept: RetainedRequests;
 }
 
 const MAXIMUM_BUFFERED_BODY_BYTES = 64 * 1024;
@@ -58,7 +58,7 @@
   const parsed = parseChatRequest(body);
   if (parsed.isErr) {
     const malformed = refused("bad_request", parsed.error);
-    refuseUnjudged(exchange, malformed, options.metrics);
+    refuseWithEarlierUnknown(exchange, malformed, options.metrics);
     return;
   }
   const chat = parsed.value;
@@ -100,7 +100,7 @@
     route: options.routing().route(service, caller.workspace),
     method,
     path: `${path}${url.search}`,
-    headers: passedHeaders(request.headers, { drop: ENTRY_HEADERS }),
+    headers: forwardedHeaders(request.headers, { drop: ENTRY_HEADERS }),
     repeatable: plainRepeatable(service.calls, { method, path }),
     deadline: exchangeDeadline(exchange, service, options.clock.now()),
   };
@@ -151,7 +151,7 @@
   const { response } = exchange;
   const now = clock.now();
   const requestId = mintRequestId(0, now);
-  const refusal = await gate.ask(
+  const refusal = await gate.admit(
     call.service.name,
     admissionRequest(
       exchange,
--- a/packages/rampswitch-entry/src/membership/entry_news.ts
+++ b/packages/rampswitch-entry/src/membership/entry_news.ts
@@ -18,7 +18,7 @@
   const { configuration, directory, client, logger } = parts;
   const { candidates } = configuration.routing;
   directory.keepOnly(new Set(candidates.keys()));
-  client.keepOnly(
+  client.closePoolsExcept(
     new Set([...candidates.values()].map(({ server }) => server.address)),
   );
   const { revision } = configuration.state;
--- a/packages/rampswitch-entry/src/membership/membership_service.ts
+++ b/packages/rampswitch-entry/src/membership/membership_service.ts
@@ -10,8 +10,8 @@
 import {
   addMarks,
   digestsToSend,
-  endMarks,
-  forgetSilent,
+  removeExpiredMarks,
+  removeSilent,
   heartbeatTargets,
   type HostDigest,
   type LeavingMark,
@@ -22,7 +22,7 @@
   sample,
   silenceLimits,
   suspectSilent,
-  trusted,
+  trustedMembers,
 } from "rampswitch-configuration";
 import {
   HeartbeatRequestSchema,
@@ -173,7 +173,7 @@
 
   /** Trusted peers. */
   get trusted(): readonly Member[] {
-    return trusted(this.#members);
+    return trustedMembers(this.#members);
   }
 
   /** Whether this host has said that it is leaving. */
@@ -245,13 +245,17 @@
   /** Takes in marks and tells about those that are news. */
   mark(marks: readonly LeavingMark[]): void {
     const added = addMarks(this.#marks, marks, this.#options.clock.now());
-    if (added.news.length === 0) return;
+    if (added.newMarks.length === 0) return;
     this.#marks = added.marks;
-    this.#options.metrics.count("leaving_mark", undefined, added.news.length);
-    added.news.forEach(({ host, source }) =>
+    this.#options.metrics.count(
+      "leaving_mark",
+      undefined,
+      added.newMarks.length,
+    );
+    added.newMarks.forEach(({ host, source }) =>
       this.#options.logger.info("host is leaving", { host, source }),
     );
-    this.#options.listener.leaving(added.news);
+    this.#options.listener.leaving(added.newMarks);
   }
 
   /** Some trusted peers, for news that must spread at once. */
@@ -278,11 +282,11 @@
     const member = this.#members.get(host);
     if (member === undefined || member.suspected) return;
     const { clock, heartbeatMilliseconds } = this.#options;
-    if (clock.now() - member.heardAt < 2 * heartbeatMilliseconds) return;
+    if (clock.now() - member.receivedAt < 2 * heartbeatMilliseconds) return;
     this.#members = new Map(this.#members).set(host, {
       ...member,
       suspected: true,
-      growths: 0,
+      heartbeatsSinceSuspected: 0,
     });
   }
 
@@ -340,7 +344,7 @@
     this.#heartbeat += 1;
     this.#tick += 1;
     this.#suspect(now);
-    this.#marks = endMarks(this.#marks, now);
+    this.#marks = removeExpiredMarks(this.#marks, now);
     this.#forget(now);
     const partners = listener.partners();
     const due = partners
@@ -443,13 +447,14 @@
       },
     );
     this.#members = suspectSilent(this.#members, now, {
-      limitOf: (host) => (partners.has(host) ? limits.partners : limits.others),
+      silenceLimitOf: (host) =>
+        partners.has(host) ? limits.partners : limits.others,
     });
   }
 
   #forget(now: number): void {
     const { suspectMilliseconds, listener } = this.#options;
-    const kept = forgetSilent(this.#members, now, {
+    const kept = removeSilent(this.#members, now, {
       afterMilliseconds: suspectMilliseconds * FORGET_FACTOR,
     });
     [...this.#members.keys()]
--- a/packages/rampswitch-entry/src/membership/platform_watch.ts
+++ b/packages/rampswitch-entry/src/membership/platform_watch.ts
@@ -87,7 +87,8 @@
       ...missing.map(({ digest }) => digest.host.name),
     ]);
     return missing.filter(
-      ({ heardAt }) => now - heardAt > this.#options.silentMilliseconds,
+      ({ receivedAt: heardAt }) =>
+        now - heardAt > this.#options.silentMilliseconds,
     );
   }
 }
--- a/packages/rampswitch-entry/src/outcome/answer_cache.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_cache.ts
@@ -161,7 +161,7 @@
   }
 
   /** Disconnects all readers, since this host no longer receives the answer. */
-  sendReadersAway(): void {
+  disconnectReaders(): void {
     const readers = this.#readers;
     this.#readers = [];
     readers.forEach((reader) => reader.lost?.());
@@ -308,5 +308,5 @@
 
 /** Outcome reported for an evicted answer. */
 export function evictedOutcome(reason: FailureReason): FailedRan {
-  return failed(reason, "the answer ended and is no longer retained");
+  return failed(reason, "the answer was given and is no longer kept");
 }
--- a/packages/rampswitch-entry/src/outcome/answer_writer.ts
+++ b/packages/rampswitch-entry/src/outcome/answer_writer.ts
@@ -10,8 +10,12 @@
 import type { Outcome } from "rampswitch-types";
 import { inDoubt, refused } from "rampswitch-types";
 import type { Answer, AnswerReader } from "./answer_cache.ts";
-import { callerEnd, callerEvent, wholeAnswer } from "../intake/chat_request.ts";
-import { keptHead, keptPart } from "../attempt/plain_runner.ts";
+import {
+  formatStreamEnd,
+  formatTokenEvent,
+  formatWholeAnswer,
+} from "../intake/chat_request.ts";
+import { readRetainedHead, readRetainedPart } from "../attempt/plain_runner.ts";
 import { sendProblem } from "../intake/problem.ts";
 
 /** Unsent bytes above which the connection to a slow caller is closed. */
@@ -25,7 +29,7 @@
 
 const RUNNER_LOST = refused(
   "slot_unavailable",
-  "the host that ran the request was lost; another host determines the outcome",
+  "the host that ran the request was lost, and another one settles it",
   { retryAfterMilliseconds: TAKEOVER_RETRY_MILLISECONDS },
 );
 
@@ -68,7 +72,7 @@
       ended = true;
       sendProblem(response, RUNNER_LOST, {
         requestId: answer.envelope.id,
-        earlierNotJudged: true,
+        earlierUnknown: true,
       });
     },
   });
@@ -94,13 +98,13 @@
   return {
     event: (index, text) => {
       begin();
-      response.write(callerEvent(id, service, { index, text }));
+      response.write(formatTokenEvent(id, service, { index, text }));
       if (response.writableLength > MAXIMUM_UNSENT_BYTES) response.destroy();
     },
     ended: (outcome) => {
       if (outcome.kind === "completed") {
         begin();
-        response.end(callerEnd(id, service));
+        response.end(formatStreamEnd(id, service));
       } else sendProblem(response, outcome, { requestId: id });
     },
   };
@@ -119,7 +123,7 @@
         "content-type": "application/json",
         "x-request-id": id,
       });
-      response.end(wholeAnswer(id, service, answer.events));
+      response.end(formatWholeAnswer(id, service, answer.events));
     },
   };
 }
@@ -129,10 +133,10 @@
   return {
     event: (index, text) => {
       if (index > 0) {
-        response.write(keptPart(text));
+        response.write(readRetainedPart(text));
         return;
       }
-      const { status, headers } = keptHead(text);
+      const { status, headers } = readRetainedHead(text);
       response.writeHead(status, { ...headers, "x-request-id": id });
     },
     ended: (outcome) => {
--- a/packages/rampswitch-entry/src/outcome/mod.ts
+++ b/packages/rampswitch-entry/src/outcome/mod.ts
@@ -7,5 +7,5 @@
  */
 export * from "./answer_cache.ts";
 export * from "./answer_writer.ts";
-export * from "./kept_requests.ts";
+export * from "./retained_requests.ts";
 export * from "./outcome_count.ts";
--- a/packages/rampswitch-entry/src/outcome/kept_requests.ts
+++ b/packages/rampswitch-entry/src/outcome/retained_requests.ts
@@ -37,7 +37,7 @@
   exchangeDeadline,
   type ExchangeOptions,
   refuse,
-  refuseUnjudged,
+  refuseWithEarlierUnknown,
 } from "../intake/exchange.ts";
 import type { PrimaryForwarding } from "../replication/primary_forwarding.ts";
 import type { ProblemOutcome } from "../intake/problem.ts";
@@ -52,7 +52,7 @@
   readonly slots: SlotService;
   readonly gate: AdmissionGate;
   readonly chat: ChatRunner;
-  readonly hop: PrimaryForwarding;
+  readonly primaryForwarding: PrimaryForwarding;
   readonly replication: RequestReplication;
   readonly trusts: (host: HostId) => boolean;
 }
@@ -96,7 +96,7 @@
 const AFTER_ALL_EVENTS = Number.MAX_SAFE_INTEGER;
 
 /** Serves requests whose answers are retained on one host. */
-export class KeptRequests {
+export class RetainedRequests {
   readonly #options: RetainedRequestOptions;
 
   constructor(options: RetainedRequestOptions) {
@@ -106,7 +106,7 @@
   /** Serves a request on this host, or forwards it to its slot's primary. */
   async serve(exchange: Exchange, work: RetainedWork): Promise<void> {
     const { caller } = exchange;
-    const { slots, hop, random } = this.#options;
+    const { slots, primaryForwarding: hop, random } = this.#options;
     const { body } = work;
     if (caller.key !== undefined) {
       const key = `${caller.workspace.name}/${caller.key}`;
@@ -124,7 +124,7 @@
   }
 
   /** Sends an answer again, found by the id of its request. */
-  async again(exchange: Exchange, id: string): Promise<void> {
+  async readAnswer(exchange: Exchange, id: string): Promise<void> {
     const slot = slotOfRequestId(id);
     const here = () => Promise.resolve(this.#readCached(exchange, id));
     const answer = this.#options.book.byId(id);
@@ -132,7 +132,11 @@
     if (slot === undefined || isHere) {
       await here();
     } else {
-      await this.#options.hop.run(exchange, { slot, body: undefined, here });
+      await this.#options.primaryForwarding.run(exchange, {
+        slot,
+        body: undefined,
+        here,
+      });
     }
   }
 
@@ -243,7 +247,7 @@
       const end = await this.#claim(slot, keyRequest(exchange, work, key));
       if (end !== "execute") return CLAIM_OUTCOMES[end];
     }
-    const refusal = await gate.ask(
+    const refusal = await gate.admit(
       work.service.name,
       admissionRequest(exchange, { ...work, id, deadline }, clock.now()),
     );
@@ -287,9 +291,9 @@
     } else if (evicted?.workspace === own) {
       this.#refuse(exchange, evictedOutcome(evicted.reason), id);
     } else {
-      const detail = `no request with the id ${id} is known`;
+      const detail = `request id ${id}, expected a known one`;
       const unknown = refused("unknown_request", detail);
-      refuseUnjudged(exchange, unknown, metrics);
+      refuseWithEarlierUnknown(exchange, unknown, metrics);
     }
   }
 
@@ -350,17 +354,17 @@
 
 const TAKEN_OVER = inDoubt(
   "taken_over",
-  "another host had the request and its outcome is not known",
+  "another host had the request and its end is not known",
 );
 
 const PROGRESS_LOST = inDoubt(
   "progress_lost",
-  "the caller received more of the answer than was retained",
+  "the caller has more of the answer than was kept",
 );
 
 const KEY_REUSED = refused(
   "key_reused",
-  "the key was used for another request, expected a new key",
+  "key, expected a new one for another request",
 );
 
 const VERDICT_OUTCOMES: Readonly<
@@ -372,16 +376,13 @@
       ? evictedOutcome("answer_expired")
       : TAKEN_OVER,
   not_primary: () =>
-    inDoubt(
-      "taken_over",
-      "the slot has another primary; retry with the same key",
-    ),
+    inDoubt("taken_over", "the slot has moved; ask again with the same key"),
   history_lost: () =>
-    inDoubt("slot_history_lost", "both hosts that stored the key were lost"),
+    inDoubt("slot_history_lost", "both holders of the key were lost"),
   key_expired: () =>
-    inDoubt("key_expired", "the key is older than the retention time of keys"),
+    inDoubt("key_expired", "the key is older than keys are remembered"),
   key_time_ahead: () =>
-    refused("key_time_ahead", "the time in the key is in the future"),
+    refused("key_time_ahead", "time of the key, expected not the future"),
 };
 
 const CLAIM_OUTCOMES: Readonly<
--- a/packages/rampswitch-entry/src/replication/primary_forwarding.ts
+++ b/packages/rampswitch-entry/src/replication/primary_forwarding.ts
@@ -10,8 +10,12 @@
 import { type Clock, type Metrics, sleep } from "rampswitch-utils";
 import type { BackendClient } from "../attempt/backend_client.ts";
 import { HOP_HEADER } from "../intake/caller_request.ts";
-import { type Exchange, refuse, refuseUnjudged } from "../intake/exchange.ts";
-import { passAnswer, passedHeaders } from "../attempt/http_forward.ts";
+import {
+  type Exchange,
+  refuse,
+  refuseWithEarlierUnknown,
+} from "../intake/exchange.ts";
+import { forwardAnswer, forwardedHeaders } from "../attempt/http_forward.ts";
 import type { SlotService } from "./slot_service.ts";
 
 /** How hops are made. */
@@ -63,7 +67,7 @@
       await sleep(clock, WAIT_MILLISECONDS);
     }
     const detail = `slot ${work.slot}: its primary cannot be reached`;
-    refuseUnjudged(
+    refuseWithEarlierUnknown(
       exchange,
       refused("slot_unavailable", detail, RETRY_AFTER),
       metrics,
@@ -84,7 +88,7 @@
     const reply = await client.call(address, {
       method: request.method ?? "GET",
       path: `${url.pathname}${url.search}`,
-      headers: passedHeaders(request.headers, {
+      headers: forwardedHeaders(request.headers, {
         drop: ["host", "content-length", "expect"],
         add: { [HOP_HEADER]: String(caller.hops + 1) },
       }),
@@ -96,7 +100,7 @@
     });
     metrics.count("forward", reply.isOk ? "answered" : reply.error.kind);
     if (reply.isOk) {
-      await passAnswer(reply.value, response, {});
+      await forwardAnswer(reply.value, response, {});
       return true;
     }
     if (reply.error.kind === "refused_not_run") return false;
--- a/packages/rampswitch-entry/src/replication/request_recovery.ts
+++ b/packages/rampswitch-entry/src/replication/request_recovery.ts
@@ -56,7 +56,7 @@
   // reader would wait here for an end that never comes.
   lost
     .filter((answer) => !isOwn(answer))
-    .forEach((answer) => answer.sendReadersAway());
+    .forEach((answer) => answer.disconnectReaders());
 }
 
 function adopt(answer: Answer, options: AdoptionOptions): void {
--- a/packages/rampswitch-measure/src/policy_choosers.ts
+++ b/packages/rampswitch-measure/src/policy_choosers.ts
@@ -42,7 +42,10 @@
   /** An engine's late events of its prefix cache came. */
   cacheEvents(engine: string, events: readonly CacheEvent[]): void;
   /** An engine's report came. */
-  reported(engine: string, load: Parameters<ServerLoad["report"]>[0]): void;
+  reported(
+    engine: string,
+    load: Parameters<ServerLoad["applyReport"]>[0],
+  ): void;
 }
 
 /** Makes the choosers of all entry hosts. */
@@ -161,7 +164,7 @@
           blockTokens: BLOCK_TOKENS,
           speeds: ASSUMED_SPEEDS,
           load: (engine) => loadOf(engine).estimate(now, ENTRY_HOSTS),
-          excluded: ({ server }) =>
+          exclusionReason: ({ server }) =>
             leaving.has(server.name) ? "leaving" : undefined,
           share: () => 1,
         },
@@ -172,7 +175,7 @@
       return chosen.server;
     },
     ended: (engine, now) => loadOf(engine).ended(false, now),
-    reported: (engine, load) => loadOf(engine).report(load),
+    reported: (engine, load) => loadOf(engine).applyReport(load),
     cacheEvents: (engine, events) =>
       events.forEach(({ kind, block }) =>
         kind === "stored"
--- a/packages/rampswitch-measure/src/policy_measure.ts
+++ b/packages/rampswitch-measure/src/policy_measure.ts
@@ -159,7 +159,7 @@
         speeds: ASSUMED_SPEEDS,
         load: (server) =>
           loads.get(server)?.estimate(0, 9) ?? { requests: 0, promptTokens: 0 },
-        excluded: () => undefined,
+        exclusionReason: () => undefined,
         share: () => 1,
       },
     );
--- a/packages/rampswitch-policy/src/admission.ts
+++ b/packages/rampswitch-policy/src/admission.ts
@@ -82,7 +82,7 @@
   }
 
   /** Admits a request, queues it or refuses it. */
-  ask(request: AdmissionRequest, now: number): AdmissionDecision {
+  submit(request: AdmissionRequest, now: number): AdmissionDecision {
     const refusal = this.#refusal(request, now);
     if (refusal !== undefined) return { kind: "refused", outcome: refusal };
     if (this.#queue.length === 0 && this.#fits(request)) {
@@ -171,14 +171,14 @@
     if (this.#queue.length >= this.#limits.queueRequests) {
       return refused(
         "queue_full",
-        `${this.#queue.length} requests are queued, expected fewer`,
+        `${this.#queue.length} requests wait, expected fewer`,
         retryAfter,
       );
     }
     return this.#exceedsQueueShare(request)
       ? refused(
           "workspace_share_used",
-          `workspace ${request.workspace} uses all of its share of the queue`,
+          `workspace ${request.workspace} fills its share of the queue`,
           retryAfter,
         )
       : undefined;
--- a/packages/rampswitch-policy/src/capacity_plan.ts
+++ b/packages/rampswitch-policy/src/capacity_plan.ts
@@ -47,7 +47,7 @@
 }
 
 /** State of the planner between rounds. */
-export interface CapacityMemory {
+export interface CapacityPlanState {
   /** Consecutive rounds in which there was a spare host. */
   readonly spareRounds: number;
   /**
@@ -69,13 +69,13 @@
 /** Result of one round of planning. */
 export interface CapacityPlan {
   readonly actions: readonly CapacityAction[];
-  readonly memory: CapacityMemory;
+  readonly state: CapacityPlanState;
   /** Tokens a second that are still missing after the actions. */
   readonly missing: number;
 }
 
 /** State of the planner before the first round. */
-export const NO_CAPACITY_MEMORY: CapacityMemory = {
+export const INITIAL_CAPACITY_PLAN_STATE: CapacityPlanState = {
   spareRounds: 0,
   lastLossAt: Number.NEGATIVE_INFINITY,
 };
@@ -92,12 +92,12 @@
 /** Plans the starts and ends of one round. */
 export function planCapacity(
   inputs: CapacityInputs,
-  previous: CapacityMemory,
+  previous: CapacityPlanState,
 ): CapacityPlan {
   const leaving = inputs.hosts.some(({ state }) => state === "leaving");
   const lastLossAt = leaving ? inputs.now : previous.lastLossAt;
   if (inputs.demand === undefined) {
-    return { actions: [], memory: { spareRounds: 0, lastLossAt }, missing: 0 };
+    return { actions: [], state: { spareRounds: 0, lastLossAt }, missing: 0 };
   }
   const requiredTokensPerSecond = inputs.demand / TARGET_UTILIZATION;
   const remainingHosts = inputs.hosts.filter(
@@ -105,7 +105,7 @@
   );
   const starts = planStarts(inputs, remainingHosts, requiredTokensPerSecond);
   if (starts.actions.length > 0 || starts.missing > 0) {
-    return { ...starts, memory: { spareRounds: 0, lastLossAt } };
+    return { ...starts, state: { spareRounds: 0, lastLossAt } };
   }
   const spareHost = findSpareHost(
     inputs,
@@ -120,7 +120,7 @@
     spareRounds >= SPARE_ROUNDS_BEFORE_END;
   return {
     actions: endsSpareHost ? [{ kind: "end", host: spareHost.name }] : [],
-    memory: { spareRounds: endsSpareHost ? 0 : spareRounds, lastLossAt },
+    state: { spareRounds: endsSpareHost ? 0 : spareRounds, lastLossAt },
     missing: 0,
   };
 }
--- a/packages/rampswitch-policy/src/choice.ts
+++ b/packages/rampswitch-policy/src/choice.ts
@@ -56,7 +56,7 @@
   /** Estimated load of a server. */
   load(server: string): EstimatedLoad;
   /** Reason why a server gets no new requests; `undefined` if it does. */
-  excluded(candidate: Candidate): string | undefined;
+  exclusionReason(candidate: Candidate): string | undefined;
   /** Share of its normal load that a server should get, at most 1. */
   share(server: string): number;
 }
@@ -131,7 +131,7 @@
     const scored = considered.flatMap((candidate) => {
       const reason = request.avoid.has(candidate.server.name)
         ? "an earlier attempt failed on it"
-        : context.excluded(candidate);
+        : context.exclusionReason(candidate);
       if (reason === undefined) {
         return [
           score(candidate, request, {
@@ -198,7 +198,7 @@
     conversation,
     (candidate) =>
       !request.avoid.has(candidate.server.name) &&
-      context.excluded(candidate) === undefined &&
+      context.exclusionReason(candidate) === undefined &&
       context.load(candidate.server.name).requests <
         candidate.server.concurrency,
   );
@@ -235,7 +235,7 @@
 }
 
 /** Whether a group of candidates has a server with this name. */
-export function serverIn(
+export function includesServer(
   candidates: readonly Candidate[],
   server: string,
 ): boolean {
--- a/packages/rampswitch-policy/src/migration_plan.ts
+++ b/packages/rampswitch-policy/src/migration_plan.ts
@@ -17,7 +17,7 @@
   /** Whether the request may run twice. */
   readonly repeatable: boolean;
   /** Whether both servers can migrate the KV cache. */
-  readonly movesCache: boolean;
+  readonly canMigrateCache: boolean;
 }
 
 /**
@@ -30,16 +30,17 @@
 /** Time reserved before the host is reclaimed, in milliseconds. */
 const RECLAIM_MARGIN_MILLISECONDS = 500;
 /** Maximum duration of a KV-cache migration, in milliseconds. */
-export const CACHE_MOVE_MILLISECONDS = 2_000;
+export const MAXIMUM_CACHE_MIGRATION_MILLISECONDS = 2_000;
 
 /** Plans what happens to one run. */
-export function planMove(run: RunOnLeavingHost): MigrationPlan {
+export function planMigration(run: RunOnLeavingHost): MigrationPlan {
   if (!run.repeatable) return "finish";
   const remaining = run.remainingMilliseconds ?? Number.POSITIVE_INFINITY;
   const runMilliseconds = run.remainingTokens * run.tokenMilliseconds;
   if (runMilliseconds + RECLAIM_MARGIN_MILLISECONDS < remaining)
     return "finish";
   const hasTimeToMigrate =
-    remaining > CACHE_MOVE_MILLISECONDS + RECLAIM_MARGIN_MILLISECONDS;
-  return run.movesCache && hasTimeToMigrate ? "move_cache" : "resume";
+    remaining >
+    MAXIMUM_CACHE_MIGRATION_MILLISECONDS + RECLAIM_MARGIN_MILLISECONDS;
+  return run.canMigrateCache && hasTimeToMigrate ? "move_cache" : "resume";
 }
--- a/packages/rampswitch-policy/src/policy_test.ts
+++ b/packages/rampswitch-policy/src/policy_test.ts
@@ -5,15 +5,15 @@
 import { seededRandom } from "rampswitch-utils";
 import { Admission, type AdmissionRequest } from "./admission.ts";
 import {
-  NO_CAPACITY_MEMORY,
+  INITIAL_CAPACITY_PLAN_STATE,
   planCapacity,
   type PlannedClass,
   type PlannedHost,
 } from "./capacity_plan.ts";
-import { planMove } from "./migration_plan.ts";
+import { planMigration } from "./migration_plan.ts";
 import { PrefixIndex } from "./prefix_index.ts";
 import { decideRetry, RetryBudget } from "./retry.ts";
-import { mayEject, ServerHealth } from "./server_health.ts";
+import { isEjectionAllowed, ServerHealth } from "./server_health.ts";
 import { ServerLoad } from "./server_load.ts";
 
 function request(
@@ -49,12 +49,12 @@
 describe("admission", () => {
   test("gives a small workspace its share next to a large one", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 100 });
-    admission.ask(request("first"), 0);
+    admission.submit(request("first"), 0);
     Array.from({ length: 20 }, (_, index) =>
-      admission.ask(request(`large-${index}`, { workspace: "large" }), 0),
+      admission.submit(request(`large-${index}`, { workspace: "large" }), 0),
     );
     Array.from({ length: 5 }, (_, index) =>
-      admission.ask(request(`small-${index}`), 0),
+      admission.submit(request(`small-${index}`), 0),
     );
     const order = drain(admission, "first").slice(0, 10);
     const small = order.filter((id) => id.startsWith("small"));
@@ -63,15 +63,15 @@
 
   test("refuses a request at once that cannot meet its deadline", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 100 });
-    admission.ask(request("a"), 0);
+    admission.submit(request("a"), 0);
     admission.end("a", 1);
-    admission.ask(request("b"), 2);
+    admission.submit(request("b"), 2);
     admission.end("b", 1_002);
-    admission.ask(request("c"), 1_003);
+    admission.submit(request("c"), 1_003);
     Array.from({ length: 50 }, (_, index) =>
-      admission.ask(request(`q-${index}`), 1_003),
+      admission.submit(request(`q-${index}`), 1_003),
     );
-    const late = admission.ask(request("late", { deadline: 1_100 }), 1_003);
+    const late = admission.submit(request("late", { deadline: 1_100 }), 1_003);
     expect(late).toMatchObject({
       kind: "refused",
       outcome: { kind: "refused_not_run", reason: "deadline_unreachable" },
@@ -80,13 +80,16 @@
 
   test("queues background work after chat until its slack is used up", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 100 });
-    admission.ask(request("first"), 0);
+    admission.submit(request("first"), 0);
     const background = { background: true, runMilliseconds: 1_000 };
-    admission.ask(request("settlement", { ...background, deadline: 9_000 }), 0);
-    admission.ask(request("chat", { deadline: 20_000 }), 0);
+    admission.submit(
+      request("settlement", { ...background, deadline: 9_000 }),
+      0,
+    );
+    admission.submit(request("chat", { deadline: 20_000 }), 0);
     admission.end("first", 1);
     expect(admission.next(1).map(({ id }) => id)).toEqual(["chat"]);
-    admission.ask(request("chat-2", { deadline: 20_000 }), 7_500);
+    admission.submit(request("chat-2", { deadline: 20_000 }), 7_500);
     admission.end("chat", 7_500);
     expect(admission.next(7_500).map(({ id }) => id)).toEqual(["settlement"]);
   });
@@ -94,7 +97,7 @@
   test("limits the length of its queue", () => {
     const admission = new Admission({ tokens: 10, queueRequests: 2 });
     const kinds = ["a", "b", "c", "d"].map(
-      (id) => admission.ask(request(id), 0).kind,
+      (id) => admission.submit(request(id), 0).kind,
     );
     expect(kinds).toEqual(["admitted", "queued", "queued", "refused"]);
   });
@@ -109,7 +112,7 @@
         outcome: inDoubt("backend_lost", ""),
         mayHaveRunBefore: false,
         repeatable: false,
-        attempts: 1,
+        attemptsWithoutProgress: 1,
         remainingMilliseconds: 1_000,
         reason: "backend_lost",
       },
@@ -125,7 +128,7 @@
       outcome: inDoubt("backend_lost", ""),
       mayHaveRunBefore: false,
       repeatable: true,
-      attempts: 1,
+      attemptsWithoutProgress: 1,
       remainingMilliseconds: 1_000,
       reason: "backend_lost",
     } as const;
@@ -148,7 +151,7 @@
             outcome: refused("connect_failed", ""),
             mayHaveRunBefore: false,
             repeatable: true,
-            attempts,
+            attemptsWithoutProgress: attempts,
             remainingMilliseconds: 1_000,
             reason: "connect_failed",
           },
@@ -190,8 +193,8 @@
   });
 
   test("lets at most half of a group be ejected", () => {
-    expect(mayEject(3, 6)).toBe(true);
-    expect(mayEject(4, 6)).toBe(false);
+    expect(isEjectionAllowed(3, 6)).toBe(true);
+    expect(isEjectionAllowed(4, 6)).toBe(false);
   });
 
   test("counts fast errors as load, not as free capacity", () => {
@@ -208,10 +211,20 @@
 describe("load", () => {
   test("includes the requests that other hosts probably sent since a report", () => {
     const load = new ServerLoad();
-    load.report({ running: 1, waiting: 0, promptTokensWaiting: 0, at: 100 });
+    load.applyReport({
+      running: 1,
+      waiting: 0,
+      promptTokensWaiting: 0,
+      at: 100,
+    });
     load.sent(5, 90);
     load.sent(5, 110);
-    load.report({ running: 1, waiting: 0, promptTokensWaiting: 0, at: 105 });
+    load.applyReport({
+      running: 1,
+      waiting: 0,
+      promptTokensWaiting: 0,
+      at: 105,
+    });
     expect(load.estimate(120, 8).requests).toBe(9);
   });
 });
@@ -229,7 +242,7 @@
     expect(index.matches(["1", "2", "3"])).toEqual(
       expect.arrayContaining([{ server: "a", blocks: 1 }]),
     );
-    index.forget("a");
+    index.removeServer("a");
     expect(index.matches(["1"]).map(({ server }) => server)).toEqual(["b"]);
   });
 
@@ -249,7 +262,7 @@
     remainingTokens: 1_000,
     tokenMilliseconds: 10,
     repeatable: true,
-    movesCache: true,
+    canMigrateCache: true,
   };
 
   test.each([
@@ -262,7 +275,7 @@
     ["stays if it ends in time", { remainingTokens: 10 }, "finish"],
     ["stays if it must not run twice", { repeatable: false }, "finish"],
   ] as const)("%s", (_name, change, plan) => {
-    expect(planMove({ ...work, ...change })).toBe(plan);
+    expect(planMigration({ ...work, ...change })).toBe(plan);
   });
 });
 
@@ -307,7 +320,7 @@
   options: {
     readonly classes?: readonly PlannedClass[];
     readonly now?: number;
-    readonly plannerState?: typeof NO_CAPACITY_MEMORY;
+    readonly plannerState?: typeof INITIAL_CAPACITY_PLAN_STATE;
   } = {},
 ) {
   return planCapacity(
@@ -318,7 +331,7 @@
       classes: options.classes ?? HOST_CLASSES,
       downloadsFree: 8,
     },
-    options.plannerState ?? NO_CAPACITY_MEMORY,
+    options.plannerState ?? INITIAL_CAPACITY_PLAN_STATE,
   );
 }
 
@@ -347,10 +360,10 @@
 
   test("ends a spare host only in the fifth round that has one", () => {
     const planned = hosts(["a", "a", "b", "b", "c", "c"]);
-    let plannerState = NO_CAPACITY_MEMORY;
+    let plannerState = INITIAL_CAPACITY_PLAN_STATE;
     const ends = Array.from({ length: 5 }, () => {
       const round = plan(70, planned, { plannerState });
-      plannerState = round.memory;
+      plannerState = round.state;
       return round.actions.length;
     });
     expect(ends).toEqual([0, 0, 0, 0, 1]);
@@ -361,7 +374,7 @@
       ...host,
       managed: false,
     }));
-    const plannerState = { ...NO_CAPACITY_MEMORY, spareRounds: 50 };
+    const plannerState = { ...INITIAL_CAPACITY_PLAN_STATE, spareRounds: 50 };
     expect(plan(70, planned, { plannerState }).actions).toEqual([]);
   });
 
@@ -370,13 +383,13 @@
       ...hosts(["a", "a", "b", "b", "c", "c"]),
       ...hosts(["a"], "leaving"),
     ];
-    let { memory: plannerState } = plan(70, wave);
+    let { state: plannerState } = plan(70, wave);
     const ends = Array.from({ length: 8 }, (_, round) => {
       const next = plan(70, hosts(["a", "a", "b", "b", "c", "c"]), {
         plannerState,
         now: 1_000_000 + round * 2_000,
       });
-      plannerState = next.memory;
+      plannerState = next.state;
       return next.actions.length;
     });
     expect(ends).toEqual(Array(8).fill(0));
--- a/packages/rampswitch-policy/src/prefix_index.ts
+++ b/packages/rampswitch-policy/src/prefix_index.ts
@@ -65,7 +65,7 @@
   }
 
   /** Removes a server from the index, for example after its restart. */
-  forget(server: string): void {
+  removeServer(server: string): void {
     [...this.#servers]
       .filter(([, servers]) => servers.includes(server))
       .forEach(([block]) => this.evicted(server, block));
--- a/packages/rampswitch-policy/src/retry.ts
+++ b/packages/rampswitch-policy/src/retry.ts
@@ -15,20 +15,20 @@
   /** Maximum number of retries in the budget. */
   readonly maximumSavedRetries: number;
   /** Maximum number of consecutive attempts without progress. */
-  readonly attempts: number;
+  readonly maximumAttempts: number;
   /** Upper limit of the wait after the first attempt; it doubles each time. */
   readonly initialWaitMilliseconds: number;
   /** Upper limit of the wait after any attempt. */
-  readonly longestWaitMilliseconds: number;
+  readonly maximumWaitMilliseconds: number;
 }
 
 /** Default limits. */
 export const RETRY_LIMITS: RetryLimits = {
   retriesPerRequest: 0.1,
   maximumSavedRetries: 20,
-  attempts: 4,
+  maximumAttempts: 4,
   initialWaitMilliseconds: 10,
-  longestWaitMilliseconds: 500,
+  maximumWaitMilliseconds: 500,
 };
 
 /**
@@ -68,7 +68,7 @@
   /** Whether the request may run twice. */
   readonly repeatable: boolean;
   /** Consecutive attempts that delivered nothing of the answer. */
-  readonly attempts: number;
+  readonly attemptsWithoutProgress: number;
   /**
    * Whether the attempt delivered a part of the answer. Continuing that answer
    * adds no load, because the server that ran the attempt is lost; it needs no
@@ -108,11 +108,12 @@
     attempt.outcome.kind === "refused_not_run" && !attempt.mayHaveRunBefore;
   const safeToRepeat = attempt.repeatable || notRun;
   const maximumWaitMilliseconds = Math.min(
-    limits.longestWaitMilliseconds,
-    limits.initialWaitMilliseconds * 2 ** (attempt.attempts - 1),
+    limits.maximumWaitMilliseconds,
+    limits.initialWaitMilliseconds * 2 ** (attempt.attemptsWithoutProgress - 1),
   );
   const waitMilliseconds = maximumWaitMilliseconds * options.random.next();
-  const attemptsExhausted = attempt.attempts >= limits.attempts;
+  const attemptsExhausted =
+    attempt.attemptsWithoutProgress >= limits.maximumAttempts;
   const pastDeadline = waitMilliseconds >= attempt.remainingMilliseconds;
   if (!safeToRepeat || attemptsExhausted || pastDeadline)
     return { kind: "give_up", budgetEmpty: false };
--- a/packages/rampswitch-policy/src/retry_test.ts
+++ b/packages/rampswitch-policy/src/retry_test.ts
@@ -52,7 +52,7 @@
     outcome: outcomes.at(-1) ?? outcomes[0],
     mayHaveRunBefore: mayHaveRun(outcomes.slice(0, -1)),
     repeatable,
-    attempts: 1,
+    attemptsWithoutProgress: 1,
     remainingMilliseconds: 1_000,
     reason: "backend_refused",
   } as const;
--- a/packages/rampswitch-policy/src/server_health.ts
+++ b/packages/rampswitch-policy/src/server_health.ts
@@ -186,6 +186,6 @@
  * fail, requests go to all of them again, because the remaining servers could
  * not carry the load.
  */
-export function mayEject(ejected: number, groupSize: number): boolean {
+export function isEjectionAllowed(ejected: number, groupSize: number): boolean {
   return ejected <= groupSize * MAXIMUM_EJECTED_SHARE;
 }
--- a/packages/rampswitch-policy/src/server_load.ts
+++ b/packages/rampswitch-policy/src/server_load.ts
@@ -58,7 +58,7 @@
   }
 
   /** Applies a report; one that is not newer than the last is ignored. */
-  report(load: ReportedLoad): void {
+  applyReport(load: ReportedLoad): void {
     if (load.at <= this.#report.at) return;
     this.#report = load;
     this.#sent = this.#sent.filter(({ at }) => at > load.at);
