--- a/packages/rampswitch-store/src/mod.ts
+++ b/packages/rampswitch-store/src/mod.ts
@@ -8,6 +8,6 @@
 export * from "./call_accounting.ts";
 export * from "./http_object_store.ts";
 export * from "./object_store.ts";
-export * from "./settled_change.ts";
+export * from "./conditional_change.ts";
 export * from "./watcher.ts";
 export * from "./store_position.ts";
--- a/packages/rampswitch-utils/src/break_off_test.ts
+++ b/packages/rampswitch-utils/src/abort_response_test.ts
@@ -7,7 +7,7 @@
 
 import { createServer, get } from "node:http";
 import { describe, expect, test } from "@jest/globals";
-import { breakOff } from "./break_off.ts";
+import { breakOff } from "./abort_response.ts";
 import { listen } from "./listen.ts";
 
 const EVENT = "id: 1\ndata: event 1\n\n";
--- a/packages/rampswitch-utils/src/mod.ts
+++ b/packages/rampswitch-utils/src/mod.ts
@@ -6,8 +6,8 @@
  * @module
  */
 export * from "./body.ts";
-export * from "./break_off.ts";
-export * from "./cautious_clock.ts";
+export * from "./abort_response.ts";
+export * from "./suspend_aware_clock.ts";
 export * from "./clock.ts";
 export * from "./disposal.ts";
 export * from "./hash.ts";
--- a/packages/rampswitch-utils/src/cautious_clock_test.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { CautiousClock } from "./cautious_clock.ts";
+import { CautiousClock } from "./suspend_aware_clock.ts";
 import { ManualClock } from "./clock.ts";
 
 function observed(): {
