--- a/packages/rampswitch-protocol/src/exploration.ts
+++ b/packages/rampswitch-protocol/src/exploration.ts
@@ -64,13 +64,13 @@
   states: 200_000,
 };
 
-interface Flight {
+interface MessageInFlight {
   readonly from: HostId;
   readonly to: HostId;
   readonly message: SlotMessage;
 }
 
-interface Used {
+interface UsedBounds {
   readonly deaths: number;
   readonly promotions: number;
   readonly handovers: number;
@@ -86,21 +86,21 @@
   readonly executions: number;
 }
 
-interface World {
+interface ExplorationState {
   readonly replicas: readonly SlotReplica[];
   readonly dead: readonly HostId[];
   readonly store: SlotEntry;
-  readonly flights: readonly Flight[];
+  readonly messagesInFlight: readonly MessageInFlight[];
   readonly proposals: readonly Proposal[];
   readonly keys: readonly KeyHistory[];
-  readonly used: Used;
+  readonly used: UsedBounds;
   readonly time: number;
   readonly path: Path | undefined;
 }
 
 interface Path {
   readonly step: string;
-  readonly before: Path | undefined;
+  readonly previous: Path | undefined;
   readonly length: number;
 }
 
@@ -109,7 +109,7 @@
   readonly name: string;
   readonly host: HostId;
   readonly act: (replica: SlotReplica) => readonly SlotEffect[];
-  readonly change?: Partial<World>;
+  readonly change?: Partial<ExplorationState>;
 }
 
 const SLOT = 0;
@@ -122,16 +122,16 @@
   bounds: ExplorationBounds = DEFAULT_BOUNDS,
   rules: SlotRules = SLOT_RULES,
 ): ExplorationReport {
-  const first = firstWorld(bounds, rules);
+  const first = initialState(bounds, rules);
   const seen = new Set<number>([fingerprint(first)]);
-  let frontier: readonly World[] = [first];
+  let frontier: readonly ExplorationState[] = [first];
   let longestPath = 0;
   while (frontier.length > 0) {
-    const next: World[] = [];
-    for (const world of frontier) {
-      for (const step of steps(world, bounds)) {
-        const after = take(world, step);
-        if (broken(after)) {
+    const next: ExplorationState[] = [];
+    for (const state of frontier) {
+      for (const step of possibleSteps(state, bounds)) {
+        const after = applyStep(state, step);
+        if (violatesInvariant(after)) {
           return {
             statesExplored: seen.size,
             complete: false,
@@ -139,9 +139,9 @@
             violation: pathSteps(after.path),
           };
         }
-        const mark = fingerprint(after);
-        if (seen.has(mark)) continue;
-        seen.add(mark);
+        const hash = fingerprint(after);
+        if (seen.has(hash)) continue;
+        seen.add(hash);
         next.push(after);
         if (seen.size >= bounds.states) {
           return {
@@ -164,7 +164,10 @@
   };
 }
 
-function firstWorld(bounds: ExplorationBounds, rules: SlotRules): World {
+function initialState(
+  bounds: ExplorationBounds,
+  rules: SlotRules,
+): ExplorationState {
   const names = Array.from({ length: bounds.hosts }, (_, index) =>
     String.fromCharCode("A".charCodeAt(0) + index),
   );
@@ -183,7 +186,7 @@
     replicas,
     dead: [],
     store,
-    flights: [],
+    messagesInFlight: [],
     proposals: [],
     keys: Array.from({ length: bounds.keys }, () => ({
       mintedAt: undefined,
@@ -204,26 +207,29 @@
   };
 }
 
-function broken(world: World): boolean {
-  return world.keys.some(
+function violatesInvariant(state: ExplorationState): boolean {
+  return state.keys.some(
     ({ executions, submissions, withdrawn }) =>
       executions > 1 || executions > submissions - withdrawn,
   );
 }
 
-function steps(world: World, bounds: ExplorationBounds): readonly Step[] {
-  const alive = world.replicas.filter(({ self }) => !world.dead.includes(self));
+function possibleSteps(
+  state: ExplorationState,
+  bounds: ExplorationBounds,
+): readonly Step[] {
+  const alive = state.replicas.filter(({ self }) => !state.dead.includes(self));
   return [
-    ...deliveries(world),
-    ...storeSteps(world),
-    ...alive.flatMap((replica) => hostSteps(world, replica, bounds)),
-    ...deaths(world, alive, bounds),
+    ...deliverySteps(state),
+    ...storeSteps(state),
+    ...alive.flatMap((replica) => hostSteps(state, replica, bounds)),
+    ...deathSteps(state, alive, bounds),
   ];
 }
 
-function deliveries(world: World): readonly Step[] {
-  return world.flights
-    .filter(({ to }) => !world.dead.includes(to))
+function deliverySteps(state: ExplorationState): readonly Step[] {
+  return state.messagesInFlight
+    .filter(({ to }) => !state.dead.includes(to))
     .map((flight) => ({
       name:
         `${flight.to} receives ${flight.message.kind} from ` +
@@ -231,14 +237,14 @@
       host: flight.to,
       act: (replica) => replica.receive(flight.from, flight.message),
       change: {
-        flights: world.flights.filter((other) => other !== flight),
+        messagesInFlight: state.messagesInFlight.filter((other) => other !== flight),
       },
     }));
 }
 
-function storeSteps(world: World): readonly Step[] {
-  return world.proposals
-    .filter(({ from }) => from?.epoch === world.store.epoch)
+function storeSteps(state: ExplorationState): readonly Step[] {
+  return state.proposals
+    .filter(({ from }) => from?.epoch === state.store.epoch)
     .map((proposal) => ({
       name: `store takes epoch ${proposal.to.epoch} of ${proposal.to.primary}`,
       host: "",
@@ -248,41 +254,41 @@
 }
 
 function hostSteps(
-  world: World,
+  state: ExplorationState,
   replica: SlotReplica,
   bounds: ExplorationBounds,
 ): readonly Step[] {
   const host = replica.self;
   const known = replica.entry?.epoch ?? 0;
   const reads: readonly Step[] =
-    known < world.store.epoch
+    known < state.store.epoch
       ? [
           {
-            name: `${host} reads epoch ${world.store.epoch}`,
+            name: `${host} reads epoch ${state.store.epoch}`,
             host,
-            act: (fork) => fork.observe(world.store),
+            act: (fork) => fork.observe(state.store),
           },
         ]
       : [];
   return [
     ...reads,
-    ...submissions(world, replica, bounds),
-    ...withdrawals(world, replica, bounds),
-    ...changes(world, replica, bounds),
+    ...submissionSteps(state, replica, bounds),
+    ...withdrawalSteps(state, replica, bounds),
+    ...roleChangeSteps(state, replica, bounds),
   ];
 }
 
-function submissions(
-  world: World,
+function submissionSteps(
+  state: ExplorationState,
   replica: SlotReplica,
   bounds: ExplorationBounds,
 ): readonly Step[] {
-  return world.keys.flatMap((history, index) => {
+  return state.keys.flatMap((history, index) => {
     if (history.submissions >= bounds.submissionsPerKey) return [];
-    const keyTime = history.mintedAt ?? world.time;
+    const keyTime = history.mintedAt ?? state.time;
     const request = { key: `k${index}`, keyTime, guarded: true };
-    if (replica.judge(request, world.time).kind !== "new") return [];
-    const keys = world.keys.with(index, {
+    if (replica.judge(request, state.time).kind !== "new") return [];
+    const keys = state.keys.with(index, {
       ...history,
       mintedAt: keyTime,
       submissions: history.submissions + 1,
@@ -291,26 +297,26 @@
       {
         name: `caller asks ${replica.self} for ${request.key}`,
         host: replica.self,
-        act: (fork: SlotReplica) => fork.open(request, world.time),
+        act: (fork: SlotReplica) => fork.open(request, state.time),
         change: { keys },
       },
     ];
   });
 }
 
-function withdrawals(
-  world: World,
+function withdrawalSteps(
+  state: ExplorationState,
   replica: SlotReplica,
   bounds: ExplorationBounds,
 ): readonly Step[] {
-  if (world.used.withdrawals >= bounds.withdrawals) return [];
+  if (state.used.withdrawals >= bounds.withdrawals) return [];
   return replica
     .keysWith(["claiming"])
     .filter((key) => replica.record(key)?.claimant === replica.self)
     .filter(() => replica.role === "primary")
     .map((key) => {
       const index = Number(key.slice(1));
-      const history = world.keys[index];
+      const history = state.keys[index];
       return {
         name: `${replica.self} refuses ${key} as not run`,
         host: replica.self,
@@ -319,11 +325,11 @@
           return [];
         },
         change: {
-          used: { ...world.used, withdrawals: world.used.withdrawals + 1 },
+          used: { ...state.used, withdrawals: state.used.withdrawals + 1 },
           ...(history === undefined
             ? {}
             : {
-                keys: world.keys.with(index, {
+                keys: state.keys.with(index, {
                   ...history,
                   withdrawn: history.withdrawn + 1,
                 }),
@@ -333,16 +339,16 @@
     });
 }
 
-function changes(
-  world: World,
+function roleChangeSteps(
+  state: ExplorationState,
   replica: SlotReplica,
   bounds: ExplorationBounds,
 ): readonly Step[] {
   const host = replica.self;
-  const { used } = world;
-  const isGone = (other: HostId) => world.dead.includes(other);
+  const { used } = state;
+  const isGone = (other: HostId) => state.dead.includes(other);
   const idle = replica.pending === undefined;
-  const others = world.replicas
+  const others = state.replicas
     .map(({ self }) => self)
     .filter((other) => other !== host && other !== replica.entry?.backup);
   const promote: readonly Step[] =
@@ -356,7 +362,7 @@
           },
         ]
       : [];
-  const teach: readonly Step[] =
+  const addLearner: readonly Step[] =
     idle &&
     replica.role === "primary" &&
     replica.learner === undefined &&
@@ -368,7 +374,7 @@
           change: { used: { ...used, replacements: used.replacements + 1 } },
         }))
       : [];
-  const stop: readonly Step[] =
+  const removeLearner: readonly Step[] =
     idle && replica.learner !== undefined
       ? [
           {
@@ -378,16 +384,16 @@
           },
         ]
       : [];
-  const seize: readonly Step[] =
+  const takeOver: readonly Step[] =
     idle &&
     replica.role === "none" &&
     used.takeovers < bounds.takeovers &&
-    replica.fork().take(isGone, world.time).length > 0
+    replica.fork().take(isGone, state.time).length > 0
       ? [
           {
             name: `${host} takes the slot`,
             host,
-            act: (fork) => fork.take(isGone, world.time),
+            act: (fork) => fork.take(isGone, state.time),
             change: { used: { ...used, takeovers: used.takeovers + 1 } },
           },
         ]
@@ -406,7 +412,7 @@
           },
         ]
       : [];
-  const alone: readonly Step[] =
+  const dropBackup: readonly Step[] =
     idle &&
     replica.role === "primary" &&
     replica.learner === undefined &&
@@ -421,106 +427,117 @@
           },
         ]
       : [];
-  return [...promote, ...handOver, ...teach, ...stop, ...alone, ...seize];
+  return [
+    ...promote,
+    ...handOver,
+    ...addLearner,
+    ...removeLearner,
+    ...dropBackup,
+    ...takeOver,
+  ];
 }
 
-function deaths(
-  world: World,
+function deathSteps(
+  state: ExplorationState,
   alive: readonly SlotReplica[],
   bounds: ExplorationBounds,
 ): readonly Step[] {
-  if (world.used.deaths >= bounds.deaths) return [];
+  if (state.used.deaths >= bounds.deaths) return [];
   return alive.map(({ self }) => ({
     name: `${self} dies`,
     host: "",
     act: () => [],
     change: {
-      dead: [...world.dead, self],
-      flights: world.flights.filter(({ to }) => to !== self),
-      used: { ...world.used, deaths: world.used.deaths + 1 },
-      time: world.time + 1,
+      dead: [...state.dead, self],
+      flights: state.messagesInFlight.filter(({ to }) => to !== self),
+      used: { ...state.used, deaths: state.used.deaths + 1 },
+      time: state.time + 1,
     },
   }));
 }
 
-function take(world: World, step: Step): World {
-  const at = world.replicas.findIndex(({ self }) => self === step.host);
-  const fork = world.replicas[at]?.fork();
+function applyStep(state: ExplorationState, step: Step): ExplorationState {
+  const at = state.replicas.findIndex(({ self }) => self === step.host);
+  const fork = state.replicas[at]?.fork();
   const effects = fork === undefined ? [] : step.act(fork);
-  const changed: World = {
-    ...world,
+  const changed: ExplorationState = {
+    ...state,
     ...step.change,
     replicas:
-      fork === undefined ? world.replicas : world.replicas.with(at, fork),
+      fork === undefined ? state.replicas : state.replicas.with(at, fork),
     path: {
       step: step.name,
-      before: world.path,
-      length: (world.path?.length ?? 0) + 1,
+      previous: state.path,
+      length: (state.path?.length ?? 0) + 1,
     },
   };
   return effects.reduce(
-    (state, effect) => applyEffect(state, effect, step.host),
+    (current, effect) => applyEffect(current, effect, step.host),
     changed,
   );
 }
 
-function applyEffect(world: World, effect: SlotEffect, host: HostId): World {
+function applyEffect(
+  state: ExplorationState,
+  effect: SlotEffect,
+  host: HostId,
+): ExplorationState {
   const apply = EFFECTS[effect.kind] as (
-    world: World,
+    state: ExplorationState,
     effect: SlotEffect,
     host: HostId,
-  ) => World;
-  return apply(world, effect, host);
+  ) => ExplorationState;
+  return apply(state, effect, host);
 }
 
 const EFFECTS: {
   readonly [Kind in SlotEffect["kind"]]: (
-    world: World,
+    state: ExplorationState,
     effect: Extract<SlotEffect, { readonly kind: Kind }>,
     host: HostId,
-  ) => World;
+  ) => ExplorationState;
 } = {
-  send: (world, { to, message }, from) =>
-    world.dead.includes(to)
-      ? world
+  send: (state, { to, message }, from) =>
+    state.dead.includes(to)
+      ? state
       : {
-          ...world,
-          flights: [...world.flights, { from, to, message }],
+          ...state,
+          messagesInFlight: [...state.messagesInFlight, { from, to, message }],
         },
-  execute: (world, { key }) => {
+  execute: (state, { key }) => {
     const index = Number(key.slice(1));
-    const history = world.keys[index];
+    const history = state.keys[index];
     return history === undefined
-      ? world
+      ? state
       : {
-          ...world,
-          keys: world.keys.with(index, {
+          ...state,
+          keys: state.keys.with(index, {
             ...history,
             executions: history.executions + 1,
           }),
         };
   },
-  propose: (world, { proposal }) => ({
-    ...world,
-    proposals: [...world.proposals, proposal],
+  propose: (state, { proposal }) => ({
+    ...state,
+    proposals: [...state.proposals, proposal],
   }),
-  read_table: (world) => world,
-  in_doubt: (world) => world,
-  taken_over: (world) => world,
+  read_table: (state) => state,
+  in_doubt: (state) => state,
+  taken_over: (state) => state,
 };
 
-const MARKS = new WeakMap<object, string>();
+const SHORT_HASHES = new WeakMap<object, string>();
 const RADIX = 36;
 
 /** A short text that stands for a value; computed once per object. */
-function mark<Marked extends object>(
+function shortHash<Marked extends object>(
   value: Marked,
   describe: (value: Marked) => string,
 ): string {
-  const known = MARKS.get(value);
+  const known = SHORT_HASHES.get(value);
   if (known !== undefined) return known;
   const text = hash53(describe(value)).toString(RADIX);
-  MARKS.set(value, text);
+  SHORT_HASHES.set(value, text);
   return text;
 }
 
@@ -528,20 +545,22 @@
   return hash32(text) + (hash32(text, HASH_SEED) % HIGH_BITS) * 2 ** 32;
 }
 
-function fingerprint(world: World): number {
+function fingerprint(state: ExplorationState): number {
   const text = [
-    ...world.replicas.map((replica) =>
-      mark(replica, (value) => value.fingerprint()),
+    ...state.replicas.map((replica) =>
+      shortHash(replica, (value) => value.fingerprint()),
     ),
-    world.dead.toSorted().join(),
-    mark(world.store, JSON.stringify),
-    ...world.keys.map((key) => mark(key, JSON.stringify)),
-    mark(world.used, JSON.stringify),
-    String(world.time),
-    ...world.flights.map((flight) => mark(flight, JSON.stringify)).toSorted(),
+    state.dead.toSorted().join(),
+    shortHash(state.store, JSON.stringify),
+    ...state.keys.map((key) => shortHash(key, JSON.stringify)),
+    shortHash(state.used, JSON.stringify),
+    String(state.time),
+    ...state.messagesInFlight
+      .map((flight) => shortHash(flight, JSON.stringify))
+      .toSorted(),
     "proposals",
-    ...world.proposals
-      .map((proposal) => mark(proposal, JSON.stringify))
+    ...state.proposals
+      .map((proposal) => shortHash(proposal, JSON.stringify))
       .toSorted(),
   ].join();
   return hash53(text);
@@ -549,6 +568,7 @@
 
 function pathSteps(path: Path | undefined): readonly string[] {
   const result: string[] = [];
-  for (let at = path; at !== undefined; at = at.before) result.unshift(at.step);
+  for (let at = path; at !== undefined; at = at.previous)
+    result.unshift(at.step);
   return result;
 }
--- a/packages/rampswitch-protocol/src/exploration_test.ts
+++ b/packages/rampswitch-protocol/src/exploration_test.ts
@@ -22,7 +22,7 @@
   readonly bounds: ExplorationBounds;
 }
 
-const MUTATIONS: readonly Mutation[] = [
+const RULE_MUTATIONS: readonly Mutation[] = [
   {
     name: "a backup that ignores epochs",
     rules: { acceptsEpoch: () => true },
@@ -30,12 +30,12 @@
   },
   {
     name: "a third host that takes without proof",
-    rules: { mayTake: () => true },
+    rules: { canTakeOver: () => true },
     bounds: ONE_KEY,
   },
   {
     name: "a third host that serves keys older than its knowledge",
-    rules: { knowsKey: () => true },
+    rules: { coversKey: () => true },
     bounds: ONE_KEY,
   },
   {
@@ -48,9 +48,9 @@
   {
     name: "a primary that keeps claims of a former tenure",
     rules: {
-      keepsClaims: () => true,
-      learns: (known) => known === undefined,
-      answerFor: () => "held",
+      retainsClaims: () => true,
+      acceptsRecord: (known) => known === undefined,
+      answerClaim: () => "held",
     },
     bounds: NO_DEATHS,
   },
@@ -71,7 +71,7 @@
 });
 
 describe("the exploration finds a second execution with", () => {
-  test.each(MUTATIONS)("$name", ({ rules, bounds }) => {
+  test.each(RULE_MUTATIONS)("$name", ({ rules, bounds }) => {
     const report = explore(bounds, { ...SLOT_RULES, ...rules });
     expect(report.violation).toBeDefined();
   });
--- a/packages/rampswitch-protocol/src/golden_session_test.ts
+++ b/packages/rampswitch-protocol/src/golden_session_test.ts
@@ -42,7 +42,7 @@
   ): this {
     const replica = this.#hosts.get(host)!;
     this.#lines.push(`${host}: ${what}`);
-    this.#follow(host, run(replica), []);
+    this.#applyEffects(host, run(replica), []);
     return this;
   }
 
@@ -56,7 +56,7 @@
       this.#lines.push(`  ${key} is ${verdict.record.status}`);
     }
     if (verdict.kind === "new") {
-      this.#follow(host, replica.open(request, 5_000), lostTo);
+      this.#applyEffects(host, replica.open(request, 5_000), lostTo);
     }
     return this;
   }
@@ -65,12 +65,12 @@
   read(...hosts: readonly string[]): this {
     hosts.forEach((host) => {
       this.#lines.push(`${host}: reads the table`);
-      this.#follow(host, this.#hosts.get(host)!.observe(this.#entry), []);
+      this.#applyEffects(host, this.#hosts.get(host)!.observe(this.#entry), []);
     });
     return this;
   }
 
-  #follow(
+  #applyEffects(
     host: string,
     effects: readonly SlotEffect[],
     lostTo: readonly string[],
@@ -85,7 +85,7 @@
         );
         if (lost) return;
         const to = this.#hosts.get(effect.to)!;
-        this.#follow(effect.to, to.receive(host, effect.message), lostTo);
+        this.#applyEffects(effect.to, to.receive(host, effect.message), lostTo);
       } else if (effect.kind === "propose") {
         const { from, to } = effect.proposal;
         const won = from?.epoch === this.#entry.epoch;
--- a/packages/rampswitch-protocol/src/slot_placement.ts
+++ b/packages/rampswitch-protocol/src/slot_placement.ts
@@ -56,20 +56,20 @@
   slot: number,
   hosts: readonly PlacementHost[],
 ): DesiredHolders {
-  const known = HOLDERS.get(hosts) ?? new Map<number, DesiredHolders>();
-  HOLDERS.set(hosts, known);
-  const holders = known.get(slot) ?? workOutHolders(slot, hosts);
+  const known = HOLDERS_BY_VIEW.get(hosts) ?? new Map<number, DesiredHolders>();
+  HOLDERS_BY_VIEW.set(hosts, known);
+  const holders = known.get(slot) ?? computeDesiredHolders(slot, hosts);
   known.set(slot, holders);
   return holders;
 }
 
 /** Holders by the view they were worked out from; views are never changed. */
-const HOLDERS = new WeakMap<
+const HOLDERS_BY_VIEW = new WeakMap<
   readonly PlacementHost[],
   Map<number, DesiredHolders>
 >();
 
-function workOutHolders(
+function computeDesiredHolders(
   slot: number,
   hosts: readonly PlacementHost[],
 ): DesiredHolders {
@@ -114,7 +114,7 @@
 const STEPS: Readonly<Record<SlotReplica["role"], StepDecision>> = {
   primary: primaryStep,
   backup: backupStep,
-  none: outsiderStep,
+  none: nonHolderStep,
 };
 
 function primaryStep(
@@ -124,13 +124,13 @@
 ): PlacementStep {
   const { learner, slot } = replica;
   if (learner !== undefined) {
-    return serves(learner, view) ? NONE : { kind: "stop_teaching" };
+    return isMember(learner, view) ? NONE : { kind: "stop_teaching" };
   }
   const desired = desiredHolders(slot, view.hosts);
   const wanted =
     desired.primary === replica.self ? desired.backup : desired.primary;
   if (wanted === undefined || wanted === replica.self) {
-    return entry.backup === undefined || serves(entry.backup, view)
+    return entry.backup === undefined || isMember(entry.backup, view)
       ? NONE
       : { kind: "drop_backup" };
   }
@@ -145,12 +145,12 @@
   entry: SlotEntry,
   view: PlacementView,
 ): PlacementStep {
-  return serves(entry.primary, view) && !view.isGone(entry.primary)
+  return isMember(entry.primary, view) && !view.isGone(entry.primary)
     ? NONE
     : { kind: "promote" };
 }
 
-function outsiderStep(
+function nonHolderStep(
   replica: SlotReplica,
   entry: SlotEntry,
   view: PlacementView,
@@ -158,20 +158,24 @@
   const holders = [entry.primary, entry.backup].filter(
     (host) => host !== undefined,
   );
-  const served = holders.some(
-    (host) => serves(host, view) && !view.isGone(host),
+  const hasServingHolder = holders.some(
+    (host) => isMember(host, view) && !view.isGone(host),
   );
-  const proved = holders.some((host) => view.isGone(host));
-  if (served || !proved) return NONE;
+  const hasEndedHolder = holders.some((host) => view.isGone(host));
+  if (hasServingHolder || !hasEndedHolder) return NONE;
   const { primary } = desiredHolders(replica.slot, view.hosts);
   return primary === replica.self ? { kind: "take" } : NONE;
 }
 
-function serves(host: HostId, view: PlacementView): boolean {
-  const known = IDS.get(view.hosts) ?? new Set(view.hosts.map(({ id }) => id));
-  IDS.set(view.hosts, known);
+function isMember(host: HostId, view: PlacementView): boolean {
+  const known =
+    IDS_BY_VIEW.get(view.hosts) ?? new Set(view.hosts.map(({ id }) => id));
+  IDS_BY_VIEW.set(view.hosts, known);
   return known.has(host);
 }
 
 /** Identities in each view; views are never changed. */
-const IDS = new WeakMap<readonly PlacementHost[], ReadonlySet<HostId>>();
+const IDS_BY_VIEW = new WeakMap<
+  readonly PlacementHost[],
+  ReadonlySet<HostId>
+>();
--- a/packages/rampswitch-protocol/src/slot_replica.ts
+++ b/packages/rampswitch-protocol/src/slot_replica.ts
@@ -36,7 +36,11 @@
 }
 
 /** Statuses that become in doubt when another host takes over. */
-const UNSETTLED: readonly KeyStatus[] = ["claiming", "sent", "withdrawn"];
+const UNSETTLED_STATUSES: readonly KeyStatus[] = [
+  "claiming",
+  "sent",
+  "withdrawn",
+];
 
 /** One host's replica of one slot. */
 export class SlotReplica {
@@ -45,11 +49,11 @@
   readonly #options: ReplicaOptions;
   readonly #rules: SlotRules;
   /** When {@link prune} first met each key, on a steady clock. */
-  readonly #heldSince = new Map<string, number>();
+  readonly #storedSince = new Map<string, number>();
   readonly #records = new Map<string, KeyRecord>();
-  readonly #missing = new Map<string, readonly HostId[]>();
+  readonly #awaitedHolders = new Map<string, readonly HostId[]>();
   #entry: SlotEntry | undefined;
-  #floor = 0;
+  #minimumEpoch = 0;
   #learner: Learner | undefined;
   #pending: Proposal | undefined;
 
@@ -83,7 +87,7 @@
 
   /** Whether a claim waits for the answers of other holders. */
   get claimsWaiting(): boolean {
-    return this.#missing.size > 0;
+    return this.#awaitedHolders.size > 0;
   }
 
   /** Number of keys remembered. */
@@ -107,10 +111,14 @@
   fork(): SlotReplica {
     const copy = new SlotReplica(this.self, this.slot, this.#options);
     this.#records.forEach((record, key) => copy.#records.set(key, record));
-    this.#missing.forEach((hosts, key) => copy.#missing.set(key, hosts));
-    this.#heldSince.forEach((since, key) => copy.#heldSince.set(key, since));
+    this.#awaitedHolders.forEach((hosts, key) =>
+      copy.#awaitedHolders.set(key, hosts),
+    );
+    this.#storedSince.forEach((since, key) =>
+      copy.#storedSince.set(key, since),
+    );
     copy.#entry = this.#entry;
-    copy.#floor = this.#floor;
+    copy.#minimumEpoch = this.#minimumEpoch;
     copy.#learner = this.#learner;
     copy.#pending = this.#pending;
     return copy;
@@ -121,12 +129,12 @@
     const records = [...this.#records.values()]
       .map(({ key, status, claimant }) => `${key}${status}${claimant}`)
       .toSorted();
-    const missing = [...this.#missing]
+    const missing = [...this.#awaitedHolders]
       .map(([key, hosts]) => `${key}${hosts.join("+")}`)
       .toSorted();
     return JSON.stringify([
       this.#entry,
-      this.#floor,
+      this.#minimumEpoch,
       this.#learner,
       this.#pending?.to,
       records,
@@ -139,16 +147,17 @@
     const before = this.#entry;
     if (before !== undefined && entry.epoch <= before.epoch) return [];
     this.#entry = entry;
-    this.#floor = Math.max(this.#floor, entry.epoch);
+    this.#minimumEpoch = Math.max(this.#minimumEpoch, entry.epoch);
     if (this.#pending !== undefined && entry.epoch >= this.#pending.to.epoch) {
       this.#pending = undefined;
     }
-    if (before?.primary === this.self) return this.#afterTenure(before, entry);
+    if (before?.primary === this.self)
+      return this.#observeAfterTenure(before, entry);
     if (entry.primary !== this.self) return [];
     return before !== undefined &&
-      this.#rules.keepsClaims(before, entry, this.self)
-      ? this.#claimAnew()
-      : this.#begin();
+      this.#rules.retainsClaims(before, entry, this.self)
+      ? this.#repeatPendingClaims()
+      : this.#beginTenure();
   }
 
   /** Judges a request for a key without changing anything. */
@@ -170,7 +179,7 @@
       return { kind: "key_expired" };
     }
     return record !== undefined ||
-      this.#rules.knowsKey(keyTime, entry, { now, times })
+      this.#rules.coversKey(keyTime, entry, { now, times })
       ? { kind: "new" }
       : { kind: "history_lost" };
   }
@@ -194,7 +203,7 @@
     const record = this.#records.get(key);
     if (record?.status !== "claiming") return false;
     this.#setStatus(key, "withdrawn");
-    this.#missing.delete(key);
+    this.#awaitedHolders.delete(key);
     return true;
   }
 
@@ -202,7 +211,7 @@
   finish(key: string, status: KeyStatus): readonly SlotEffect[] {
     if (!this.#records.has(key)) return [];
     this.#setStatus(key, status);
-    return this.#tellHolders(key, status);
+    return this.#reportToHolders(key, status);
   }
 
   /**
@@ -211,23 +220,23 @@
    * each key: a time of day that jumps ahead would end them all, and a key that comes
    * again would count as new.
    */
-  prune(steadyNow: number): readonly string[] {
+  prune(monotonicNow: number): readonly string[] {
     [...this.#records.keys()]
-      .filter((key) => !this.#heldSince.has(key))
-      .forEach((key) => this.#heldSince.set(key, steadyNow));
-    const before = steadyNow - this.#options.times.retention;
+      .filter((key) => !this.#storedSince.has(key))
+      .forEach((key) => this.#storedSince.set(key, monotonicNow));
+    const before = monotonicNow - this.#options.times.retention;
     const running: readonly KeyStatus[] =
       this.role === "primary" ? ["claiming", "sent"] : [];
     const forgotten = [...this.#records.values()]
       .filter(
         ({ key, status }) =>
-          (this.#heldSince.get(key) ?? steadyNow) < before &&
+          (this.#storedSince.get(key) ?? monotonicNow) < before &&
           !running.includes(status),
       )
       .map(({ key }) => key);
     forgotten.forEach((key) => {
       this.#records.delete(key);
-      this.#heldSince.delete(key);
+      this.#storedSince.delete(key);
     });
     return forgotten;
   }
@@ -261,11 +270,14 @@
       epoch: entry.epoch,
       records: [...this.#records.values()],
     };
-    this.#missing.forEach((hosts, key) => {
+    this.#awaitedHolders.forEach((hosts, key) => {
       const others = hosts.filter((other) => other !== host);
-      this.#missing.set(key, [...others, host]);
+      this.#awaitedHolders.set(key, [...others, host]);
     });
-    return [{ kind: "send", to: host, message }, ...this.#claimsAgain(host)];
+    return [
+      { kind: "send", to: host, message },
+      ...this.#pendingClaimsTo(host),
+    ];
   }
 
   /** As primary: gives up filling a host, unless it may be the backup. */
@@ -273,7 +285,9 @@
     const host = this.#learner?.host;
     if (host === undefined || this.#pending !== undefined) return [];
     this.#learner = undefined;
-    return [...this.#missing.keys()].flatMap((key) => this.#held(key, host));
+    return [...this.#awaitedHolders.keys()].flatMap((key) =>
+      this.#onHeld(key, host),
+    );
   }
 
   /** As primary: makes a learner that holds every record the backup. */
@@ -306,7 +320,7 @@
   take(isGone: (host: HostId) => boolean, now: number): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined || this.role !== "none") return [];
-    if (!this.#rules.mayTake(entry, isGone)) return [];
+    if (!this.#rules.canTakeOver(entry, isGone)) return [];
     return this.#propose({
       epoch: entry.epoch + 1,
       primary: this.self,
@@ -378,8 +392,9 @@
   }
 
   #answerClaim(epoch: number, claimed: KeyRecord): ClaimAnswer {
-    if (!this.#rules.acceptsEpoch(epoch, this.#floor)) return "old_epoch";
-    return this.#rules.answerFor(this.#records.get(claimed.key), claimed);
+    if (!this.#rules.acceptsEpoch(epoch, this.#minimumEpoch))
+      return "old_epoch";
+    return this.#rules.answerClaim(this.#records.get(claimed.key), claimed);
   }
 
   #onClaimAnswer(
@@ -391,10 +406,10 @@
       return [{ kind: "read_table", slot: this.slot }];
     }
     if (entry?.primary !== this.self) return [];
-    if (!this.#rules.answerCounts(message.epoch, entry.epoch)) return [];
+    if (!this.#rules.acceptsAnswer(message.epoch, entry.epoch)) return [];
     return message.answer === "held"
-      ? this.#held(message.key, from)
-      : this.#doubt(message.key);
+      ? this.#onHeld(message.key, from)
+      : this.#markInDoubt(message.key);
   }
 
   #onStatus({
@@ -403,7 +418,7 @@
     epoch,
   }: Extract<SlotMessage, { readonly kind: "status" }>): readonly SlotEffect[] {
     const known = this.#records.get(key);
-    if (known === undefined || epoch < this.#floor) return [];
+    if (known === undefined || epoch < this.#minimumEpoch) return [];
     if (known.status !== "done") this.#setStatus(key, status);
     return [];
   }
@@ -413,9 +428,9 @@
     message: Extract<SlotMessage, { readonly kind: "learn" }>,
   ): readonly SlotEffect[] {
     const { epoch, records } = message;
-    if (!this.#rules.acceptsEpoch(epoch, this.#floor)) return [];
+    if (!this.#rules.acceptsEpoch(epoch, this.#minimumEpoch)) return [];
     records
-      .filter(({ key }) => this.#rules.learns(this.#records.get(key)))
+      .filter(({ key }) => this.#rules.acceptsRecord(this.#records.get(key)))
       .forEach((record) => this.#records.set(record.key, record));
     return [
       {
@@ -432,27 +447,34 @@
     return this.adopt();
   }
 
-  #begin(): readonly SlotEffect[] {
-    const unsettled = this.keysWith(UNSETTLED).filter(
+  #beginTenure(): readonly SlotEffect[] {
+    const unsettled = this.keysWith(UNSETTLED_STATUSES).filter(
       (key) => this.#records.get(key)?.guarded === true,
     );
     unsettled.forEach((key) => this.#setStatus(key, "in_doubt"));
-    this.#missing.clear();
+    this.#awaitedHolders.clear();
     this.#learner = undefined;
     return [{ kind: "taken_over", slot: this.slot }];
   }
 
-  #afterTenure(before: SlotEntry, entry: SlotEntry): readonly SlotEffect[] {
+  #observeAfterTenure(
+    before: SlotEntry,
+    entry: SlotEntry,
+  ): readonly SlotEffect[] {
     this.#learner = undefined;
-    if (this.#rules.keepsClaims(before, entry, this.self)) {
-      return this.#claimAnew();
+    if (this.#rules.retainsClaims(before, entry, this.self)) {
+      return this.#repeatPendingClaims();
     }
-    const doubts = [...this.#missing.keys()].flatMap((key) => this.#doubt(key));
-    return entry.primary === this.self ? [...doubts, ...this.#begin()] : doubts;
+    const inDoubt = [...this.#awaitedHolders.keys()].flatMap((key) =>
+      this.#markInDoubt(key),
+    );
+    return entry.primary === this.self
+      ? [...inDoubt, ...this.#beginTenure()]
+      : inDoubt;
   }
 
-  #claimAnew(): readonly SlotEffect[] {
-    return [...this.#missing.keys()].flatMap((key) => {
+  #repeatPendingClaims(): readonly SlotEffect[] {
+    return [...this.#awaitedHolders.keys()].flatMap((key) => {
       const record = this.#records.get(key);
       return record === undefined ? [] : this.#claim(record);
     });
@@ -463,15 +485,15 @@
     if (entry?.primary !== this.self) return [];
     const holders = this.#rules.holders(entry, this.#learner?.host);
     if (holders.length === 0) {
-      this.#missing.delete(record.key);
+      this.#awaitedHolders.delete(record.key);
       return this.#execute(record.key);
     }
-    this.#missing.set(record.key, holders);
+    this.#awaitedHolders.set(record.key, holders);
     return holders.map((to) => this.#claimTo(to, record));
   }
 
-  #claimsAgain(host: HostId): readonly SlotEffect[] {
-    return [...this.#missing.keys()].flatMap((key) => {
+  #pendingClaimsTo(host: HostId): readonly SlotEffect[] {
+    return [...this.#awaitedHolders.keys()].flatMap((key) => {
       const record = this.#records.get(key);
       return record === undefined ? [] : [this.#claimTo(host, record)];
     });
@@ -490,14 +512,16 @@
     };
   }
 
-  #held(key: string, by: HostId): readonly SlotEffect[] {
-    const missing = this.#missing.get(key)?.filter((host) => host !== by);
+  #onHeld(key: string, by: HostId): readonly SlotEffect[] {
+    const missing = this.#awaitedHolders
+      .get(key)
+      ?.filter((host) => host !== by);
     if (missing === undefined) return [];
     if (missing.length > 0) {
-      this.#missing.set(key, missing);
+      this.#awaitedHolders.set(key, missing);
       return [];
     }
-    this.#missing.delete(key);
+    this.#awaitedHolders.delete(key);
     return this.#execute(key);
   }
 
@@ -507,8 +531,8 @@
     return [{ kind: "execute", key }];
   }
 
-  #doubt(key: string): readonly SlotEffect[] {
-    this.#missing.delete(key);
+  #markInDoubt(key: string): readonly SlotEffect[] {
+    this.#awaitedHolders.delete(key);
     if (this.#records.get(key)?.status !== "claiming") return [];
     this.#setStatus(key, "in_doubt");
     return [{ kind: "in_doubt", key }];
@@ -523,7 +547,7 @@
     return [{ kind: "propose", proposal }];
   }
 
-  #tellHolders(key: string, status: KeyStatus): readonly SlotEffect[] {
+  #reportToHolders(key: string, status: KeyStatus): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined) return [];
     const holders = [
--- a/packages/rampswitch-protocol/src/slot_rules.ts
+++ b/packages/rampswitch-protocol/src/slot_rules.ts
@@ -16,18 +16,18 @@
 } from "./slot_types.ts";
 
 /** Statuses from which a key may be claimed (again). */
-const CLAIMABLE: readonly KeyStatus[] = ["claiming", "withdrawn"];
+const CLAIMABLE_STATUSES: readonly KeyStatus[] = ["claiming", "withdrawn"];
 
 /** Rules of the slot protocol. */
 export interface SlotRules {
   /** Whether a claim under an epoch may still be held. */
   acceptsEpoch(epoch: number, floor: number): boolean;
   /** Whether an answer to a claim counts under the epoch in force. */
-  answerCounts(epoch: number, current: number): boolean;
+  acceptsAnswer(epoch: number, current: number): boolean;
   /** Whether a third host may take a slot, given who is proved gone. */
-  mayTake(entry: SlotEntry, isGone: (host: HostId) => boolean): boolean;
+  canTakeOver(entry: SlotEntry, isGone: (host: HostId) => boolean): boolean;
   /** Whether the primary can know a key with this time. */
-  knowsKey(
+  coversKey(
     keyTime: number | undefined,
     entry: SlotEntry,
     options: { readonly now: number; readonly times: SlotTimes },
@@ -35,21 +35,21 @@
   /** Hosts that must hold a claim before it is sent. */
   holders(entry: SlotEntry, learner: HostId | undefined): readonly HostId[];
   /** Whether a primary's unsent claims may be sent under the next entry. */
-  keepsClaims(before: SlotEntry, after: SlotEntry, self: HostId): boolean;
+  retainsClaims(before: SlotEntry, after: SlotEntry, self: HostId): boolean;
   /** Whether a record brought by a primary replaces the known one. */
-  learns(known: KeyRecord | undefined): boolean;
+  acceptsRecord(known: KeyRecord | undefined): boolean;
   /** Answer to a claim of a key that is known already, or not at all. */
-  answerFor(known: KeyRecord | undefined, claimed: KeyRecord): ClaimAnswer;
+  answerClaim(known: KeyRecord | undefined, claimed: KeyRecord): ClaimAnswer;
 }
 
 /** The rules in force. */
 export const SLOT_RULES: SlotRules = {
   acceptsEpoch: (epoch, floor) => epoch >= floor,
-  answerCounts: (epoch, current) => epoch === current,
-  mayTake: (entry, isGone) =>
+  acceptsAnswer: (epoch, current) => epoch === current,
+  canTakeOver: (entry, isGone) =>
     isGone(entry.primary) ||
     (entry.backup !== undefined && isGone(entry.backup)),
-  knowsKey: (keyTime, entry, { now, times }) =>
+  coversKey: (keyTime, entry, { now, times }) =>
     entry.knownSince === 0 ||
     (keyTime === undefined
       ? now > entry.knownSince + times.retention
@@ -58,14 +58,16 @@
     [entry.backup, learner]
       .filter((host) => host !== undefined)
       .filter((host, index, hosts) => hosts.indexOf(host) === index),
-  keepsClaims: (before, after, self) =>
+  retainsClaims: (before, after, self) =>
     before.primary === self &&
     after.primary === self &&
     after.epoch === before.epoch + 1,
-  learns: (known) => known === undefined || CLAIMABLE.includes(known.status),
-  answerFor: (known, claimed) =>
+  acceptsRecord: (known) =>
+    known === undefined || CLAIMABLE_STATUSES.includes(known.status),
+  answerClaim: (known, claimed) =>
     known === undefined ||
-    (CLAIMABLE.includes(known.status) && known.claimant === claimed.claimant)
+    (CLAIMABLE_STATUSES.includes(known.status) &&
+      known.claimant === claimed.claimant)
       ? "held"
       : "known",
 };
--- a/packages/rampswitch-store/src/call_accounting.ts
+++ b/packages/rampswitch-store/src/call_accounting.ts
@@ -49,8 +49,8 @@
   #refill(): void {
     const now = this.#clock.now();
     const rate = this.#callsPerSecond();
-    const gained = ((now - this.#refilledAt) * rate) / 1000;
-    this.#tokens = Math.min(rate, this.#tokens + gained);
+    const refilled = ((now - this.#refilledAt) * rate) / 1000;
+    this.#tokens = Math.min(rate, this.#tokens + refilled);
     this.#refilledAt = now;
   }
 }
--- a/packages/rampswitch-store/src/conditional_change.ts
+++ b/packages/rampswitch-store/src/conditional_change.ts
@@ -11,12 +11,12 @@
 import { storeBackoff } from "./http_object_store.ts";
 
 /** What a change wants: a new value, or to leave the object as it is. */
-export type Intention<Refusal> =
+export type ChangeDecision<Refusal> =
   | { readonly kind: "write"; readonly value: string }
   | { readonly kind: "keep"; readonly refusal: Refusal };
 
 /** How a change ended. */
-export type Settlement<Refusal> =
+export type ChangeResult<Refusal> =
   | { readonly kind: "written"; readonly object: StoredObject }
   | { readonly kind: "kept"; readonly refusal: Refusal }
   | { readonly kind: "unknown"; readonly error: StoreError };
@@ -25,7 +25,9 @@
 export interface Change<Refusal> {
   readonly key: string;
   /** Decides from the object as it is; called again after a conflict. */
-  readonly decide: (current: StoredObject | undefined) => Intention<Refusal>;
+  readonly decide: (
+    current: StoredObject | undefined,
+  ) => ChangeDecision<Refusal>;
   /** The object as last seen, to save a read. */
   readonly known?: StoredObject;
   readonly attempts?: number;
@@ -37,7 +39,7 @@
   readonly random: Random;
 }
 
-const DEFAULT_ATTEMPTS = 6;
+const DEFAULT_MAXIMUM_ATTEMPTS = 6;
 
 /**
  * Changes an object. A lost answer is settled by the next read: `decide` must
@@ -47,8 +49,8 @@
   store: ObjectStore,
   change: Change<Refusal>,
   options: ChangeOptions,
-): Promise<Settlement<Refusal>> {
-  const attempts = change.attempts ?? DEFAULT_ATTEMPTS;
+): Promise<ChangeResult<Refusal>> {
+  const attempts = change.attempts ?? DEFAULT_MAXIMUM_ATTEMPTS;
   let known: Result<StoredObject | undefined, StoreError> | undefined =
     change.known === undefined ? undefined : Result.ok(change.known);
   let error: StoreError = { kind: "unavailable", detail: "not tried" };
@@ -58,11 +60,11 @@
     if (current.isErr) {
       error = current.error;
     } else {
-      const intention = change.decide(current.value);
-      if (intention.kind === "keep") {
-        return { kind: "kept", refusal: intention.refusal };
+      const decision = change.decide(current.value);
+      if (decision.kind === "keep") {
+        return { kind: "kept", refusal: decision.refusal };
       }
-      const written = await store.put(change.key, intention.value, {
+      const written = await store.put(change.key, decision.value, {
         expected: current.value?.version ?? "absent",
       });
       if (written.isOk) return { kind: "written", object: written.value };
--- a/packages/rampswitch-store/src/http_object_store.ts
+++ b/packages/rampswitch-store/src/http_object_store.ts
@@ -21,9 +21,9 @@
 import { type CallAccounting, type CallKind } from "./call_accounting.ts";
 
 const CALL_DEADLINE_MILLISECONDS = 1_000;
-const WATCH_SECONDS = 30;
+const DEFAULT_WATCH_SECONDS = 30;
 const WATCH_DEADLINE_MILLISECONDS = 40_000;
-const CONNECTIONS = 8;
+const MAXIMUM_CONNECTIONS = 8;
 
 interface Call {
   readonly kind: CallKind;
@@ -41,7 +41,7 @@
 const ERRORS_BY_STATUS: Readonly<Record<number, (reply: Reply) => StoreError>> =
   {
     400: (reply) => ({ kind: "invalid", detail: reply.body }),
-    409: (reply) => conflict(reply),
+    409: (reply) => conflictError(reply),
     410: () => ({ kind: "compacted" }),
     413: (reply) => ({ kind: "invalid", detail: reply.body }),
     429: () => ({ kind: "unavailable", detail: "rate limit" }),
@@ -69,7 +69,7 @@
   ) {
     this.accounting = options.accounting;
     this.#pool = new Pool(`http://${address}`, {
-      connections: CONNECTIONS,
+      connections: MAXIMUM_CONNECTIONS,
       pipelining: 1,
       connectTimeout: CALL_DEADLINE_MILLISECONDS,
     });
@@ -86,14 +86,14 @@
     return reply.andThen((answer) =>
       answer.status === 404
         ? Result.ok<StoredObject | undefined, StoreError>(undefined)
-        : parsed<StoredObject | undefined>(answer),
+        : parseReply<StoredObject | undefined>(answer),
     );
   }
 
   async list(prefix: string): Promise<Result<StoredList, StoreError>> {
     const path = `/objects?prefix=${encodeURIComponent(prefix)}`;
     const reply = await this.#call({ kind: "list", method: "GET", path });
-    return reply.andThen((answer) => parsed<StoredList>(answer));
+    return reply.andThen((answer) => parseReply<StoredList>(answer));
   }
 
   async put(
@@ -107,7 +107,7 @@
       path: `${objectPath(key)}?expected=${options.expected}`,
       body: JSON.stringify({ value }),
     });
-    return reply.andThen((answer) => parsed<StoredObject>(answer));
+    return reply.andThen((answer) => parseReply<StoredObject>(answer));
   }
 
   async remove(
@@ -122,7 +122,7 @@
     return reply.andThen((answer) =>
       answer.status === 204
         ? Result.ok<void, StoreError>(undefined)
-        : Result.err(errorOf(answer)),
+        : Result.err(errorFromReply(answer)),
     );
   }
 
@@ -133,14 +133,14 @@
   ): Promise<Result<WatchBatch, StoreError>> {
     const query =
       `prefix=${encodeURIComponent(prefix)}&after=${after}` +
-      `&seconds=${options.seconds ?? WATCH_SECONDS}`;
+      `&seconds=${options.seconds ?? DEFAULT_WATCH_SECONDS}`;
     const reply = await this.#call({
       kind: "watch",
       method: "GET",
       path: `/watch?${query}`,
       signal: options.signal,
     });
-    return reply.andThen((answer) => parsed<WatchBatch>(answer));
+    return reply.andThen((answer) => parseReply<WatchBatch>(answer));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -187,8 +187,8 @@
   return `/objects/${key.split("/").map(encodeURIComponent).join("/")}`;
 }
 
-function parsed<Value>(reply: Reply): Result<Value, StoreError> {
-  if (reply.status !== 200) return Result.err(errorOf(reply));
+function parseReply<Value>(reply: Reply): Result<Value, StoreError> {
+  if (reply.status !== 200) return Result.err(errorFromReply(reply));
   try {
     return Result.ok(JSON.parse(reply.body) as Value);
   } catch {
@@ -196,14 +196,14 @@
   }
 }
 
-function errorOf(reply: Reply): StoreError {
+function errorFromReply(reply: Reply): StoreError {
   const build = ERRORS_BY_STATUS[reply.status];
   return (
     build?.(reply) ?? { kind: "unknown", detail: `status ${reply.status}` }
   );
 }
 
-function conflict(reply: Reply): StoreError {
+function conflictError(reply: Reply): StoreError {
   const body = JSON.parse(reply.body) as { readonly current?: StoredObject };
   return body.current === undefined
     ? { kind: "conflict" }
@@ -211,7 +211,7 @@
 }
 
 const FIRST_RETRY_MILLISECONDS = 100;
-const LONGEST_RETRY_MILLISECONDS = 5_000;
+const MAXIMUM_RETRY_MILLISECONDS = 5_000;
 
 /** First and longest wait after failed calls, in milliseconds. */
 export interface BackoffRange {
@@ -219,20 +219,20 @@
   readonly longest: number;
 }
 
-const BACKOFF_RANGE: BackoffRange = {
+const DEFAULT_BACKOFF_RANGE: BackoffRange = {
   first: FIRST_RETRY_MILLISECONDS,
-  longest: LONGEST_RETRY_MILLISECONDS,
+  longest: MAXIMUM_RETRY_MILLISECONDS,
 };
 
 /** Wait before the next try after some failures, spread over its range. */
 export function storeBackoff(
   failures: number,
   random: Random,
-  range: BackoffRange = BACKOFF_RANGE,
+  range: BackoffRange = DEFAULT_BACKOFF_RANGE,
 ): number {
-  const longest = Math.min(
+  const maximum = Math.min(
     range.longest,
     range.first * 2 ** Math.min(failures, 16),
   );
-  return longest * (0.5 + random.next() / 2);
+  return maximum * (0.5 + random.next() / 2);
 }
--- a/packages/rampswitch-store/src/store_position.ts
+++ b/packages/rampswitch-store/src/store_position.ts
@@ -10,19 +10,19 @@
  */
 
 /** Revisions in one era; positions of 2^20 eras are exact. */
-const REVISIONS_OF_ERA = 2 ** 32;
+const REVISIONS_PER_ERA = 2 ** 32;
 
 /** The position of a revision. */
 export function positionOf(era: number, revision: number): number {
-  return era * REVISIONS_OF_ERA + revision;
+  return era * REVISIONS_PER_ERA + revision;
 }
 
 /** Era of a position. */
 export function eraOf(position: number): number {
-  return Math.floor(position / REVISIONS_OF_ERA);
+  return Math.floor(position / REVISIONS_PER_ERA);
 }
 
 /** Revision of a position, within its era. */
 export function revisionOf(position: number): number {
-  return position % REVISIONS_OF_ERA;
+  return position % REVISIONS_PER_ERA;
 }
--- a/packages/rampswitch-store/src/watcher.ts
+++ b/packages/rampswitch-store/src/watcher.ts
@@ -26,13 +26,13 @@
 }
 
 /** Changes that are kept to be passed on, in milliseconds since they came. */
-const KEPT_CHANGES_MILLISECONDS = 3_000;
+const CHANGE_RETENTION_MILLISECONDS = 3_000;
 
 /** How often a watch that is suspended looks whether it still is, in ms. */
-const SUSPENDED_MILLISECONDS = 100;
+const SUSPENSION_POLL_MILLISECONDS = 100;
 
 /** Changes found by a list that are passed on; those who miss more list themselves. */
-const MOST_LISTED_CHANGES = 100;
+const MAXIMUM_LISTED_CHANGES = 100;
 
 /** Where an object that is told was found. */
 export type ObjectOrigin =
@@ -76,19 +76,19 @@
   readonly #prefix: string;
   readonly #listener: WatchListener;
   readonly #clock: Clock;
-  readonly #seconds: () => number | undefined;
-  readonly #abort = new AbortController();
-  #waiting = new AbortController();
-  readonly #known = new Map<string, KnownObject>();
+  readonly #watchSeconds: () => number | undefined;
+  readonly #disposalAbort = new AbortController();
+  #callAbort = new AbortController();
+  readonly #knownObjects = new Map<string, KnownObject>();
   readonly #repetition: Repetition;
   #version: number | undefined;
   /** Version before history was lost. */
-  #formerVersion: number | undefined;
+  #versionBeforeRelist: number | undefined;
   #newestChange = 0;
-  #askedAt = 0;
+  #requestSentAt = 0;
   #failures = 0;
   #suspended = false;
-  #kept: readonly (ChangeBatch & { readonly at: number })[] = [];
+  #recentBatches: readonly (ChangeBatch & { readonly at: number })[] = [];
 
   constructor(
     store: ObjectStore,
@@ -109,18 +109,18 @@
     this.#prefix = prefix;
     this.#listener = options.listener;
     this.#clock = options.clock;
-    this.#seconds = options.seconds ?? (() => undefined);
+    this.#watchSeconds = options.seconds ?? (() => undefined);
     const backoff =
       options.backoff ?? ((failures) => storeBackoff(failures, options.random));
     this.#repetition = repeat(
       options.clock,
       () => {
-        if (this.#suspended) return SUSPENDED_MILLISECONDS;
+        if (this.#suspended) return SUSPENSION_POLL_MILLISECONDS;
         return this.#failures === 0
           ? (options.pause?.() ?? 0)
           : backoff(this.#failures);
       },
-      () => (this.#suspended ? Promise.resolve() : this.#round()),
+      () => (this.#suspended ? Promise.resolve() : this.#poll()),
     );
     this.#repetition.hurry();
   }
@@ -137,7 +137,7 @@
 
   /** When the call that waits now was sent. */
   get askedAt(): number {
-    return this.#askedAt;
+    return this.#requestSentAt;
   }
 
   /** Whether another host passes the changes on. */
@@ -149,7 +149,7 @@
   suspend(): void {
     if (this.#suspended) return;
     this.#suspended = true;
-    this.#waiting.abort();
+    this.#callAbort.abort();
   }
 
   /** Asks the store again. */
@@ -160,12 +160,12 @@
   /** The newest changes, to pass on; `undefined` before the first list. */
   recent(): ChangeBatch | undefined {
     if (this.#version === undefined) return undefined;
-    const oldest = this.#clock.now() - KEPT_CHANGES_MILLISECONDS;
-    this.#kept = this.#kept.filter(({ at }) => at >= oldest);
+    const oldest = this.#clock.now() - CHANGE_RETENTION_MILLISECONDS;
+    this.#recentBatches = this.#recentBatches.filter(({ at }) => at >= oldest);
     return {
-      after: this.#kept[0]?.after ?? this.#version,
+      after: this.#recentBatches[0]?.after ?? this.#version,
       version: this.#version,
-      events: this.#kept.flatMap(({ events }) => events),
+      events: this.#recentBatches.flatMap(({ events }) => events),
     };
   }
 
@@ -183,26 +183,26 @@
 
   /** Gives up a call that waits and asks anew, when the way there was lost. */
   interrupt(): void {
-    this.#waiting.abort();
+    this.#callAbort.abort();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.#abort.abort();
+    this.#disposalAbort.abort();
     await this.#repetition[Symbol.asyncDispose]();
   }
 
-  async #round(): Promise<void> {
-    const asked = this.#clock.now();
-    this.#askedAt = asked;
-    const done =
+  async #poll(): Promise<void> {
+    const sentAt = this.#clock.now();
+    this.#requestSentAt = sentAt;
+    const succeeded =
       this.#version === undefined
         ? await this.#relist()
-        : await this.#wait(this.#version);
-    if (this.#abort.signal.aborted) return;
+        : await this.#watchOnce(this.#version);
+    if (this.#disposalAbort.signal.aborted) return;
     // A call that was given up on purpose tells nothing about the store.
-    if (!done && this.#waiting.signal.aborted) return;
-    this.#failures = done ? 0 : this.#failures + 1;
-    if (done) this.#listener.confirmed(asked);
+    if (!succeeded && this.#callAbort.signal.aborted) return;
+    this.#failures = succeeded ? 0 : this.#failures + 1;
+    if (succeeded) this.#listener.confirmed(sentAt);
     else this.#listener.failed();
   }
 
@@ -210,16 +210,18 @@
     const list = await this.#store.list(this.#prefix);
     if (list.isErr) return false;
     const { version, objects } = list.value;
-    const after = this.#formerVersion;
-    this.#formerVersion = undefined;
+    const after = this.#versionBeforeRelist;
+    this.#versionBeforeRelist = undefined;
     this.#version = Math.max(this.#version ?? 0, version);
-    this.#newestChange = newestOf(objects, this.#newestChange);
+    this.#newestChange = newestVersion(objects, this.#newestChange);
     const present = new Set(objects.map(({ key }) => key));
-    const missing = [...this.#known.keys()].filter((key) => !present.has(key));
+    const missing = [...this.#knownObjects.keys()].filter(
+      (key) => !present.has(key),
+    );
     missing.forEach((key) => this.#forget(key));
     const origin = originOf(after, version);
-    const changed = objects.filter((object) => this.#tell(object, origin));
-    this.#keepListed({ after, version, missing, changed });
+    const changed = objects.filter((object) => this.#report(object, origin));
+    this.#retainListedChanges({ after, version, missing, changed });
     if (origin === "copy") {
       this.#listener.listedInEra?.({
         version,
@@ -231,7 +233,7 @@
   }
 
   /** Keeps what a list found changed, for those who had followed as far. */
-  #keepListed({
+  #retainListedChanges({
     after,
     version,
     missing,
@@ -242,26 +244,29 @@
     readonly missing: readonly string[];
     readonly changed: readonly StoredObject[];
   }): void {
-    const isMuch = missing.length + changed.length > MOST_LISTED_CHANGES;
-    if (after === undefined || isMuch) {
-      this.#kept = [];
+    const isTooMany = missing.length + changed.length > MAXIMUM_LISTED_CHANGES;
+    if (after === undefined || isTooMany) {
+      this.#recentBatches = [];
       return;
     }
     const events = [...missing.map((key) => ({ key, version })), ...changed];
-    this.#kept = [{ after, version, events, at: this.#clock.now() }];
+    this.#recentBatches = [{ after, version, events, at: this.#clock.now() }];
   }
 
-  async #wait(after: number): Promise<boolean> {
-    const seconds = this.#seconds();
-    this.#waiting = new AbortController();
+  async #watchOnce(after: number): Promise<boolean> {
+    const seconds = this.#watchSeconds();
+    this.#callAbort = new AbortController();
     const batch = await this.#store.watch(this.#prefix, after, {
-      signal: AbortSignal.any([this.#abort.signal, this.#waiting.signal]),
+      signal: AbortSignal.any([
+        this.#disposalAbort.signal,
+        this.#callAbort.signal,
+      ]),
       ...(seconds === undefined ? {} : { seconds }),
     });
     if (batch.isErr) {
       if (batch.error.kind !== "compacted") return false;
       // Lost history confirms nothing; only the list that follows does.
-      this.#formerVersion = this.#version ?? this.#formerVersion;
+      this.#versionBeforeRelist = this.#version ?? this.#versionBeforeRelist;
       this.#version = undefined;
       return this.#relist();
     }
@@ -274,40 +279,43 @@
     const known = this.#version ?? 0;
     const origin = originOf(batch.after, batch.version);
     this.#version = Math.max(known, batch.version);
-    this.#newestChange = newestOf(events, this.#newestChange);
+    this.#newestChange = newestVersion(events, this.#newestChange);
     if (events.length > 0) {
-      this.#kept = [...this.#kept, { ...batch, at: this.#clock.now() }];
+      this.#recentBatches = [
+        ...this.#recentBatches,
+        { ...batch, at: this.#clock.now() },
+      ];
     }
     events.forEach((event) => {
       if (event.value !== undefined) {
         // A change from before may be of an object that was removed since.
         if (event.version > known) {
-          this.#tell({ ...event, value: event.value }, origin);
+          this.#report({ ...event, value: event.value }, origin);
         }
-      } else if (event.version >= this.#versionOf(event.key)) {
+      } else if (event.version >= this.#knownVersionOf(event.key)) {
         this.#forget(event.key);
       }
     });
   }
 
-  #versionOf(key: string): number {
-    return this.#known.get(key)?.version ?? Infinity;
+  #knownVersionOf(key: string): number {
+    return this.#knownObjects.get(key)?.version ?? Infinity;
   }
 
   /** Tells of an object that is news; in a new era, positions alone are none. */
-  #tell(object: StoredObject, origin: ObjectOrigin): boolean {
+  #report(object: StoredObject, origin: ObjectOrigin): boolean {
     const { key, version, value } = object;
-    const known = this.#known.get(key);
+    const known = this.#knownObjects.get(key);
     if (known !== undefined && version <= known.version) return false;
     const digest = digestOf(value);
-    this.#known.set(key, { version, digest });
+    this.#knownObjects.set(key, { version, digest });
     if (origin === "copy" && known?.digest === digest) return false;
     this.#listener.changed(object, origin);
     return true;
   }
 
   #forget(key: string): void {
-    this.#known.delete(key);
+    this.#knownObjects.delete(key);
     this.#listener.removed(key);
   }
 }
@@ -320,13 +328,16 @@
 
 /** Two hashes as one number, so that no two values of an object are taken for one. */
 function digestOf(value: string): number {
-  return hash32(value) * DIGEST_HIGH + (hash32(value, 1) % DIGEST_HIGH);
+  return (
+    hash32(value) * DIGEST_LOWER_VALUES +
+    (hash32(value, 1) % DIGEST_LOWER_VALUES)
+  );
 }
 
 /** Values of the lower part of a digest; all of it is an exact number. */
-const DIGEST_HIGH = 2 ** 20;
+const DIGEST_LOWER_VALUES = 2 ** 20;
 
-function newestOf(
+function newestVersion(
   changes: readonly { readonly version: number }[],
   known: number,
 ): number {
--- a/packages/rampswitch-store/src/watcher_test.ts
+++ b/packages/rampswitch-store/src/watcher_test.ts
@@ -14,7 +14,7 @@
 import { type ChangeBatch, Watcher } from "./watcher.ts";
 
 /** A store whose watches a test answers by hand. */
-class HandStore implements ObjectStore {
+class ManualStore implements ObjectStore {
   readonly era = ONE_ERA.era;
   readonly onEra = ONE_ERA.onEra;
   objects: readonly StoredObject[] = [];
@@ -47,7 +47,7 @@
   }
 
   /** The history that is watched is lost. */
-  lose(): void {
+  loseHistory(): void {
     this.#answer?.(Result.err({ kind: "compacted" }));
   }
 
@@ -62,7 +62,7 @@
 
 /** A watch, and the objects that it told of. */
 interface Watched {
-  readonly store: HandStore;
+  readonly store: ManualStore;
   readonly watcher: Watcher;
   readonly objects: Map<string, string>;
 }
@@ -77,7 +77,7 @@
 });
 
 async function watch(objects: readonly StoredObject[]): Promise<Watched> {
-  const store = new HandStore();
+  const store = new ManualStore();
   store.objects = objects;
   const seen = new Map<string, string>();
   const watcher = new Watcher(store, "servers/", {
@@ -155,7 +155,7 @@
 });
 
 /** Positions in the second era of a store. */
-function second(revision: number): number {
+function secondEra(revision: number): number {
   return positionOf(2, revision);
 }
 
@@ -169,29 +169,29 @@
   }
 
   /** Lists anew, as after a watch whose history is over. */
-  async function listedAnew(
+  async function relist(
     { store }: Watched,
     objects: readonly StoredObject[],
   ): Promise<void> {
-    store.version = second(6);
+    store.version = secondEra(6);
     store.objects = objects;
-    store.lose();
+    store.loseHistory();
     await settle();
   }
 
   test("tells what is other than before, by content, whatever its revision", async () => {
     const world = await watched();
-    await listedAnew(world, [
-      { ...A, version: second(5) },
-      { ...OLD_B, version: second(4) },
+    await relist(world, [
+      { ...A, version: secondEra(5) },
+      { ...OLD_B, version: secondEra(4) },
     ]);
     expect([...world.objects]).toEqual([
       ["servers/a", "a5"],
       ["servers/b", "b12"],
     ]);
     world.store.answer({
-      version: second(7),
-      events: [{ ...OLD_A, version: second(7) }],
+      version: secondEra(7),
+      events: [{ ...OLD_A, version: secondEra(7) }],
     });
     await settle();
     expect(world.objects.get("servers/a")).toBe("a9");
@@ -201,7 +201,7 @@
     const relay = await watched();
     const member = await watched();
     member.watcher.suspend();
-    await listedAnew(relay, [{ ...A, version: second(5) }]);
+    await relist(relay, [{ ...A, version: secondEra(5) }]);
     const batch = relay.watcher.recent();
     expect(batch !== undefined && member.watcher.take(batch)).toBe(true);
     expect([...member.objects]).toEqual([["servers/a", "a5"]]);
@@ -210,7 +210,7 @@
   test("is not told of by those who are in its former era", async () => {
     const relay = await watched();
     const member = await watched();
-    await listedAnew(member, [{ ...A, version: second(5) }]);
+    await relist(member, [{ ...A, version: secondEra(5) }]);
     const batch = relay.watcher.recent();
     expect(batch !== undefined && member.watcher.take(batch)).toBe(false);
   });
--- a/packages/rampswitch-types/src/resources.ts
+++ b/packages/rampswitch-types/src/resources.ts
@@ -160,7 +160,7 @@
   return (
     equal &&
     (selector.matchExpressions ?? []).every((expression) =>
-      EXPRESSION_TESTS[expression.operator](
+      EXPRESSION_MATCHERS[expression.operator](
         labels[expression.key],
         expression.values ?? [],
       ),
@@ -168,7 +168,7 @@
   );
 }
 
-const EXPRESSION_TESTS: Readonly<
+const EXPRESSION_MATCHERS: Readonly<
   Record<
     SelectorExpression["operator"],
     (value: string | undefined, values: readonly string[]) => boolean
--- a/packages/rampswitch-utils/src/clock.ts
+++ b/packages/rampswitch-utils/src/clock.ts
@@ -90,12 +90,12 @@
   let stopped = false;
   let cancel: () => void = () => undefined;
   let running: Promise<void> = Promise.resolve();
-  let hurried = false;
+  let immediate = false;
   let busy = false;
   const schedule = () => {
     if (stopped) return;
-    cancel = clock.after(hurried ? 0 : wait(), run);
-    hurried = false;
+    cancel = clock.after(immediate ? 0 : wait(), run);
+    immediate = false;
   };
   const run = () => {
     busy = true;
@@ -108,7 +108,7 @@
   return {
     hurry: () => {
       if (stopped) return;
-      hurried = true;
+      immediate = true;
       if (busy) return;
       cancel();
       schedule();
--- a/packages/rampswitch-utils/src/listen.ts
+++ b/packages/rampswitch-utils/src/listen.ts
@@ -19,7 +19,7 @@
   readonly address: string;
 }
 
-const HIGHEST_PORT = 65_535;
+const MAXIMUM_PORT = 65_535;
 
 /** IP number, in brackets for version 6, and port. */
 const ADDRESS_PATTERN =
@@ -28,8 +28,8 @@
 /** Whether a text is an IP number and a port that can be sent to. */
 export function isAddress(text: string): boolean {
   const { ip4, ip6, port } = ADDRESS_PATTERN.exec(text)?.groups ?? {};
-  const isNumber = ip4 === undefined ? isIPv6(ip6 ?? "") : isIPv4(ip4);
-  return isNumber && Number(port) <= HIGHEST_PORT;
+  const isIpNumber = ip4 === undefined ? isIPv6(ip6 ?? "") : isIPv4(ip4);
+  return isIpNumber && Number(port) <= MAXIMUM_PORT;
 }
 
 /** Splits `127.0.0.1:8000` into its IP number and port. */
--- a/packages/rampswitch-utils/src/log.ts
+++ b/packages/rampswitch-utils/src/log.ts
@@ -31,7 +31,7 @@
  * Bytes that wait for a slow reader, at most; some ten seconds of lines of a busy
  * host. Without a bound a reader that stops would take the process's memory.
  */
-const MAXIMUM_WAITING_BYTES = 1024 * 1024;
+const MAXIMUM_BUFFERED_BYTES = 1024 * 1024;
 
 /** Takes lines, and tells how much of them waits. */
 export interface LineOutput {
@@ -54,18 +54,18 @@
       winston.format.json(),
     ),
     transports: [
-      new winston.transports.Stream({ stream: boundedLines(output, fields) }),
+      new winston.transports.Stream({ stream: boundedOutput(output, fields) }),
     ],
   });
 }
 
 /** Passes lines on, and drops those for which there is no room. */
-function boundedLines(output: LineOutput, fields: LogFields): Writable {
+function boundedOutput(output: LineOutput, fields: LogFields): Writable {
   let dropped = 0;
   return new Writable({
     decodeStrings: false,
     write: (line: string, _encoding, done) => {
-      if (output.writableLength > MAXIMUM_WAITING_BYTES) {
+      if (output.writableLength > MAXIMUM_BUFFERED_BYTES) {
         dropped += 1;
       } else {
         if (dropped > 0) output.write(droppedLine(dropped, fields));
--- a/packages/rampswitch-utils/src/log_test.ts
+++ b/packages/rampswitch-utils/src/log_test.ts
@@ -8,7 +8,7 @@
 import { createLogger, type LineOutput } from "./log.ts";
 
 /** An output whose reader takes nothing until it is told to. */
-class StoppedOutput implements LineOutput {
+class StalledOutput implements LineOutput {
   readonly lines: string[] = [];
   writableLength = 0;
 
@@ -24,18 +24,18 @@
 }
 
 /** Lines of 100 characters each, many more than there is room for. */
-const MANY_LINES = 50_000;
+const LINE_COUNT = 50_000;
 
 /** More than the room that the log takes, in characters. */
-const ROOM = 2 * 1024 * 1024;
+const MAXIMUM_BUFFERED_CHARACTERS = 2 * 1024 * 1024;
 
 describe("a log whose reader has stopped", () => {
   test("stays within its room, and tells how many lines it dropped", () => {
-    const output = new StoppedOutput();
+    const output = new StalledOutput();
     const logger = createLogger("info", { host: "entry-1" }, output);
     const write = () => logger.info("line", { filler: "x".repeat(100) });
-    Array.from({ length: MANY_LINES }).forEach(write);
-    expect(output.writableLength).toBeLessThan(ROOM);
+    Array.from({ length: LINE_COUNT }).forEach(write);
+    expect(output.writableLength).toBeLessThan(MAXIMUM_BUFFERED_CHARACTERS);
     const written = output.lines.length;
     output.readAll();
     write();
@@ -44,13 +44,13 @@
       level: "warn",
       message: "log lines dropped",
       host: "entry-1",
-      lines: MANY_LINES - written,
+      lines: LINE_COUNT - written,
     });
     expect(output.lines[1]).toContain("filler");
   });
 
   test("loses nothing while its reader keeps up", () => {
-    const output = new StoppedOutput();
+    const output = new StalledOutput();
     const logger = createLogger("info", {}, output);
     const seen = Array.from({ length: 100 }, (_, index) => {
       logger.info("line", { index });
--- a/packages/rampswitch-utils/src/random.ts
+++ b/packages/rampswitch-utils/src/random.ts
@@ -19,15 +19,15 @@
   below(limit: number): number;
 }
 
-const RANDOM_STEPS = 2 ** 30;
+const RANDOM_VALUES = 2 ** 30;
 
 /** Creates a generator that repeats itself for the same seed. */
 export function seededRandom(seed: number): Random {
   const generator: RandomGenerator = xoroshiro128plus(seed);
   return {
     next: () =>
-      unsafeUniformIntDistribution(0, RANDOM_STEPS - 1, generator) /
-      RANDOM_STEPS,
+      unsafeUniformIntDistribution(0, RANDOM_VALUES - 1, generator) /
+      RANDOM_VALUES,
     below: (limit) => unsafeUniformIntDistribution(0, limit - 1, generator),
   };
 }
--- a/packages/rampswitch-utils/src/suspend_aware_clock.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock.ts
@@ -12,7 +12,7 @@
  * seen, in milliseconds; smaller ones are its corrections and the reading of two
  * clocks one after the other.
  */
-const LEAST_STEP_MILLISECONDS = 50;
+const MINIMUM_STEP_MILLISECONDS = 50;
 
 /**
  * A steady clock that also counts each step of the time of day ahead. The steady
@@ -21,28 +21,28 @@
  * what ages by it is asked for again too early, never trusted too long.
  */
 export class CautiousClock implements Clock {
-  readonly #steady: Clock;
+  readonly #monotonicClock: Clock;
   readonly #wallTime: () => number;
   #offset: number;
-  #unseen = 0;
+  #suspendedMilliseconds = 0;
 
-  constructor(steady: Clock, wallTime: () => number) {
-    this.#steady = steady;
+  constructor(monotonicClock: Clock, wallTime: () => number) {
+    this.#monotonicClock = monotonicClock;
     this.#wallTime = wallTime;
-    this.#offset = wallTime() - steady.now();
+    this.#offset = wallTime() - monotonicClock.now();
   }
 
   now(): number {
-    const steady = this.#steady.now();
-    const offset = this.#wallTime() - steady;
+    const monotonicNow = this.#monotonicClock.now();
+    const offset = this.#wallTime() - monotonicNow;
     const step = offset - this.#offset;
-    if (step > LEAST_STEP_MILLISECONDS) this.#unseen += step;
+    if (step > MINIMUM_STEP_MILLISECONDS) this.#suspendedMilliseconds += step;
     // Small differences add up to the pace at which two clocks part.
-    if (Math.abs(step) > LEAST_STEP_MILLISECONDS) this.#offset = offset;
-    return steady + this.#unseen;
+    if (Math.abs(step) > MINIMUM_STEP_MILLISECONDS) this.#offset = offset;
+    return monotonicNow + this.#suspendedMilliseconds;
   }
 
   after(milliseconds: number, callback: () => void): () => void {
-    return this.#steady.after(milliseconds, callback);
+    return this.#monotonicClock.after(milliseconds, callback);
   }
 }
--- a/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
@@ -5,7 +5,7 @@
 import { CautiousClock } from "./suspend_aware_clock.ts";
 import { ManualClock } from "./clock.ts";
 
-function observed(): {
+function createClocks(): {
   readonly steady: ManualClock;
   readonly wall: { ahead: number };
   readonly cautious: CautiousClock;
@@ -18,13 +18,13 @@
 
 describe("a cautious clock", () => {
   test("runs with the steady one", () => {
-    const { steady, cautious } = observed();
+    const { steady, cautious } = createClocks();
     steady.advance(700);
     expect(cautious.now()).toBe(1_700);
   });
 
   test("counts the time over which the steady one stood still", () => {
-    const { steady, wall, cautious } = observed();
+    const { steady, wall, cautious } = createClocks();
     wall.ahead += 8_000;
     steady.advance(10);
     expect(cautious.now()).toBe(9_010);
@@ -41,7 +41,7 @@
     );
     fc.assert(
       fc.property(steps, (taken) => {
-        const { steady, wall, cautious } = observed();
+        const { steady, wall, cautious } = createClocks();
         let before = cautious.now();
         taken.forEach((step) => {
           wall.ahead += step.wall;
@@ -56,15 +56,15 @@
   });
 
   test("has the steady one's timers", () => {
-    const { steady, wall, cautious } = observed();
-    let rung = false;
+    const { steady, wall, cautious } = createClocks();
+    let fired = false;
     cautious.after(100, () => {
-      rung = true;
+      fired = true;
     });
     wall.ahead += 8_000;
     steady.advance(99);
-    expect(rung).toBe(false);
+    expect(fired).toBe(false);
     steady.advance(1);
-    expect(rung).toBe(true);
+    expect(fired).toBe(true);
   });
 });
--- a/packages/rampswitch-validation/src/problems.ts
+++ b/packages/rampswitch-validation/src/problems.ts
@@ -19,7 +19,7 @@
   readonly expected: string;
 }
 
-const MAXIMUM_SHOWN_VALUE = 80;
+const MAXIMUM_VALUE_CHARACTERS = 80;
 
 /** Writes a problem on one line. */
 export function problemText(problem: Problem): string {
@@ -47,14 +47,14 @@
   if (issue.code === "unrecognized_keys") {
     return issue.keys.map((key) => ({
       path: pathText([...issue.path, key]),
-      value: shown(valueAt(root, [...issue.path, key])),
+      value: abbreviatedJson(valueAt(root, [...issue.path, key])),
       expected: "no such name here; see the reference for the known ones",
     }));
   }
   return [
     {
       path: pathText(issue.path),
-      value: shown(valueAt(root, issue.path)),
+      value: abbreviatedJson(valueAt(root, issue.path)),
       expected: expectedText(issue),
     },
   ];
@@ -80,9 +80,9 @@
 }
 
 /** Writes a value as JSON, cut short. */
-export function shown(value: unknown): string {
+export function abbreviatedJson(value: unknown): string {
   const text = value === undefined ? "nothing" : JSON.stringify(value);
-  return text.length <= MAXIMUM_SHOWN_VALUE
+  return text.length <= MAXIMUM_VALUE_CHARACTERS
     ? text
-    : `${text.slice(0, MAXIMUM_SHOWN_VALUE)}…`;
+    : `${text.slice(0, MAXIMUM_VALUE_CHARACTERS)}…`;
 }
--- a/packages/rampswitch-validation/src/resource_schema.ts
+++ b/packages/rampswitch-validation/src/resource_schema.ts
@@ -20,7 +20,7 @@
 const NAME_PATTERN = /^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$/;
 const ADDRESS_PATTERN = /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/;
 const HASH_PATTERN = /^[0-9a-f]{64}$/;
-const MAXIMUM_LABEL = 63;
+const MAXIMUM_LABEL_CHARACTERS = 63;
 
 /** A resource's name. */
 export const NAME_SCHEMA = z.string().regex(NAME_PATTERN, {
@@ -38,8 +38,8 @@
 });
 
 const LABELS_SCHEMA: z.ZodType<Labels> = z.record(
-  z.string().min(1).max(MAXIMUM_LABEL),
-  z.string().max(MAXIMUM_LABEL),
+  z.string().min(1).max(MAXIMUM_LABEL_CHARACTERS),
+  z.string().max(MAXIMUM_LABEL_CHARACTERS),
 );
 
 const EXPRESSION_SCHEMA = z
@@ -60,14 +60,14 @@
   matchExpressions: z.array(EXPRESSION_SCHEMA).exactOptional(),
 });
 
-const HEADER = { name: NAME_SCHEMA, labels: LABELS_SCHEMA.default({}) };
+const HEADER_FIELDS = { name: NAME_SCHEMA, labels: LABELS_SCHEMA.default({}) };
 const POSITIVE = z.number().positive();
 const NOT_NEGATIVE = z.number().nonnegative();
 
 const SCHEMAS = {
   Service: z.strictObject({
     kind: z.literal("Service"),
-    ...HEADER,
+    ...HEADER_FIELDS,
     type: z.enum(["model", "plain"]),
     calls: z
       .array(
@@ -89,7 +89,7 @@
   }),
   BackendServer: z.strictObject({
     kind: z.literal("BackendServer"),
-    ...HEADER,
+    ...HEADER_FIELDS,
     service: NAME_SCHEMA,
     host: NAME_SCHEMA,
     address: ADDRESS_SCHEMA,
@@ -108,7 +108,7 @@
   }),
   RoutingRule: z.strictObject({
     kind: z.literal("RoutingRule"),
-    ...HEADER,
+    ...HEADER_FIELDS,
     priority: z.int().default(100),
     services: SELECTOR_SCHEMA.default({}),
     workspaces: SELECTOR_SCHEMA.default({}),
@@ -123,14 +123,14 @@
   }),
   Workspace: z.strictObject({
     kind: z.literal("Workspace"),
-    ...HEADER,
+    ...HEADER_FIELDS,
     keyHashes: z.array(HASH_SCHEMA).default([]),
     weight: POSITIVE.default(1),
     priority: z.int().default(0),
   }),
   HostClass: z.strictObject({
     kind: z.literal("HostClass"),
-    ...HEADER,
+    ...HEADER_FIELDS,
     dataHall: NAME_SCHEMA,
     reclaimable: z.boolean(),
     dollarsPerHour: NOT_NEGATIVE,
--- a/packages/rampswitch-validation/src/settings_schema.ts
+++ b/packages/rampswitch-validation/src/settings_schema.ts
@@ -12,7 +12,7 @@
 import { checkYaml } from "./yaml_document.ts";
 import { ADDRESS_SCHEMA, HASH_SCHEMA, NAME_SCHEMA } from "./resource_schema.ts";
 
-const MINIMUM_SECRET = 16;
+const MINIMUM_SECRET_CHARACTERS = 16;
 const KIBIBYTE = 1024;
 const MEBIBYTE = KIBIBYTE * KIBIBYTE;
 const milliseconds = z.int().positive();
@@ -69,8 +69,8 @@
       }),
     )
     .default([]),
-  peerSecret: z.string().min(MINIMUM_SECRET, {
-    message: `expected at least ${MINIMUM_SECRET} characters`,
+  peerSecret: z.string().min(MINIMUM_SECRET_CHARACTERS, {
+    message: `expected at least ${MINIMUM_SECRET_CHARACTERS} characters`,
   }),
   platform: z.strictObject({
     objects: ADDRESS_SCHEMA,
--- a/packages/rampswitch-validation/src/yaml_document.ts
+++ b/packages/rampswitch-validation/src/yaml_document.ts
@@ -8,7 +8,7 @@
 import { Result } from "true-myth";
 import { parseDocument } from "yaml";
 import type * as z from "zod";
-import { check, type Problem, shown } from "./problems.ts";
+import { check, type Problem, abbreviatedJson } from "./problems.ts";
 
 /** Parses YAML text and checks it against a schema. */
 export function checkYaml<Schema extends z.ZodType>(
@@ -21,7 +21,7 @@
     return Result.err([
       {
         path: `line ${error.linePos?.[0].line ?? 1}`,
-        value: shown(text.slice(error.pos[0], error.pos[1])),
+        value: abbreviatedJson(text.slice(error.pos[0], error.pos[1])),
         expected: "YAML that parses",
       },
     ]);
