--- a/packages/rampswitch-types/src/hosts.ts
+++ b/packages/rampswitch-types/src/hosts.ts
@@ -1,25 +1,28 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The hosts and links of a deployment: entry hosts, data halls and the
- * identities of the processes on them.
+ * The hosts of a deployment: their data halls, their addresses and the ids of
+ * the processes on them.
  *
  * @module
  */
 
-/** Name of an entry process during one life: host name and incarnation. */
+/**
+ * Id of one incarnation of an entry process: the host's name, the start time and
+ * the incarnation. See {@link hostId}.
+ */
 export type HostId = string;
 
-/** One entry process, as its peers know it. */
+/** One entry process, as its peers see it. */
 export interface Host {
-  /** Unique to one life of the process. */
+  /** Unique to one incarnation of the process. */
   readonly id: HostId;
-  /** Name from the settings, kept across restarts. */
+  /** Name from the settings; the same after a restart. */
   readonly name: string;
   readonly dataHall: string;
-  /** IP number and port that peers call. */
+  /** IP address and port that peers call. */
   readonly peerAddress: string;
-  /** IP number and port that callers, and peers that pass requests on, call. */
+  /** IP address and port for callers and for peers that forward requests. */
   readonly callerAddress: string;
   /** Milliseconds since the epoch at which the process started. */
   readonly startedAt: number;
@@ -28,8 +31,9 @@
 const RADIX = 36;
 
 /**
- * Builds the identity of one life of a process. It carries the time of the
- * start, so that a later life of the same name proves an earlier one gone.
+ * Builds the id of one incarnation of a process. The id contains the start
+ * time, so a later incarnation of the same name proves that an earlier one has
+ * ended.
  */
 export function hostId(
   name: string,
@@ -39,12 +43,12 @@
   return `${name}~${Math.round(startedAt).toString(RADIX)}~${incarnation}`;
 }
 
-/** Milliseconds since the epoch at which the process of an identity began. */
+/** Returns the start time within a host id, in milliseconds since the epoch. */
 export function hostStartedAt(id: HostId): number {
   return Number.parseInt(id.split("~")[1] ?? "", RADIX);
 }
 
-/** Returns the host name within an identity. */
+/** Returns the host name within a host id. */
 export function hostName(id: HostId): string {
   return id.split("~")[0] ?? id;
 }
@@ -53,6 +57,6 @@
 export interface ListedHost {
   readonly name: string;
   readonly state: "live" | "leaving";
-  /** Milliseconds since the epoch at which a leaving host is taken. */
+  /** Milliseconds since the epoch at which a leaving host is reclaimed. */
   readonly deadline?: number;
 }
--- a/packages/rampswitch-types/src/mod.ts
+++ b/packages/rampswitch-types/src/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Read-only types that all packages share.
+ * Read-only types shared by all packages.
  *
  * @module
  */
--- a/packages/rampswitch-types/src/outcome.ts
+++ b/packages/rampswitch-types/src/outcome.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The one outcome type of a request, used from the edge of a backend server to
- * the caller, and the reasons that go with it. Every reason has one counter.
+ * The outcome of a request and the reasons for it. The same type is used from
+ * the backend server's client to the caller. Each reason has one counter.
  *
  * @module
  */
 
-/** Whether the work of a request ran, as told to the caller. */
+/** Whether the work of a request ran, as reported to the caller. */
 export type Ran = "no" | "yes" | "unknown";
 
 /** Reasons for refusing a request that did not run. */
@@ -37,7 +37,7 @@
 /** One reason of {@link REFUSAL_REASONS}. */
 export type RefusalReason = (typeof REFUSAL_REASONS)[number];
 
-/** Reasons for an answer that failed after the work ran, or may have run. */
+/** Reasons for a failure after the work ran or may have run. */
 export const FAILURE_REASONS = [
   "backend_error",
   "backend_nonsense",
@@ -55,7 +55,7 @@
 /** One reason of {@link FAILURE_REASONS}. */
 export type FailureReason = (typeof FAILURE_REASONS)[number];
 
-/** Reasons for sending a request to a backend server once more. */
+/** Reasons for resending a request to a backend server. */
 export const RETRY_REASONS = [
   "connect_failed",
   "backend_refused",
@@ -67,7 +67,7 @@
 /** One reason of {@link RETRY_REASONS}. */
 export type RetryReason = (typeof RETRY_REASONS)[number];
 
-/** Reasons for dropping a message that arrived for something given up. */
+/** Reasons for dropping a message that is no longer relevant on arrival. */
 export const DROP_REASONS = [
   "former_attempt",
   "duplicate_event",
@@ -80,7 +80,7 @@
 /** One reason of {@link DROP_REASONS}. */
 export type DropReason = (typeof DROP_REASONS)[number];
 
-/** The work ran and the whole answer is known. */
+/** The work ran and the whole answer was received. */
 export interface Completed {
   readonly kind: "completed";
 }
@@ -89,9 +89,9 @@
 export interface RefusedNotRun {
   readonly kind: "refused_not_run";
   readonly reason: RefusalReason;
-  /** What was wrong and what was expected, without a final period. */
+  /** What was wrong and what was expected; without a final period. */
   readonly detail: string;
-  /** Milliseconds after which the caller may ask again, if that can help. */
+  /** Milliseconds after which the caller may retry; absent if a retry can't help. */
   readonly retryAfterMilliseconds?: number;
 }
 
@@ -102,14 +102,14 @@
   readonly detail: string;
 }
 
-/** The request was handed to a backend server and its end is not known. */
+/** The request was sent to a backend server and its outcome is unknown. */
 export interface InDoubt {
   readonly kind: "in_doubt";
   readonly reason: FailureReason;
   readonly detail: string;
 }
 
-/** How a request ended. Only `refused_not_run` may always be sent again. */
+/** How a request ended. Only `refused_not_run` is always safe to resend. */
 export type Outcome = Completed | RefusedNotRun | FailedRan | InDoubt;
 
 /** Whether the work ran, by kind of outcome. */
@@ -134,7 +134,7 @@
   return { kind: "failed_ran", reason, detail };
 }
 
-/** Builds the outcome of work of which the end is not known. */
+/** Builds the outcome of work whose end is unknown. */
 export function inDoubt(reason: FailureReason, detail: string): InDoubt {
   return { kind: "in_doubt", reason, detail };
 }
--- a/packages/rampswitch-types/src/resources.ts
+++ b/packages/rampswitch-types/src/resources.ts
@@ -2,7 +2,8 @@
 
 /**
  * The resource model that operators edit: services, backend servers, routing
- * rules, workspaces and host classes. The platform's object API keeps them.
+ * rules, workspaces and host classes. Resources are stored in the platform's
+ * object API.
  *
  * @module
  */
@@ -18,7 +19,7 @@
   readonly values?: readonly string[];
 }
 
-/** Chooses resources by their labels; an empty selector matches all. */
+/** Selects resources by their labels; an empty selector matches all. */
 export interface Selector {
   /** Labels that must be equal. */
   readonly matchLabels?: Labels;
@@ -34,75 +35,75 @@
   readonly labels: Labels;
 }
 
-/** Which calls of a plain service may be run twice. */
+/** Whether some calls of a plain service may run twice. */
 export interface CallRule {
-  /** HTTP methods, upper case; absent means all. */
+  /** HTTP methods in upper case; absent means all. */
   readonly methods?: readonly string[];
-  /** Prefix of the path behind the service's name; absent means all. */
+  /** Prefix of the path after the service's name; absent means all. */
   readonly pathPrefix?: string;
-  /** Whether running the call twice does no harm. */
+  /** Whether the call is idempotent: it may run twice. */
   readonly repeatable: boolean;
 }
 
-/** What callers address: a model or a plain service. */
+/** A model or a plain service that callers send requests to. */
 export interface Service extends ResourceHeader<"Service"> {
   readonly type: "model" | "plain";
-  /** First matching rule decides; without one, plain calls are once only. */
+  /** The first matching rule applies; without one, a plain call runs at most once. */
   readonly calls: readonly CallRule[];
-  /** Target for the first token or the answer's head, in milliseconds. */
+  /** Target latency of the first token or the response headers, in milliseconds. */
   readonly targetMilliseconds: number;
-  /** Longest time that one attempt may take, in milliseconds. */
+  /** Maximum duration of one attempt, in milliseconds. */
   readonly timeoutMilliseconds: number;
-  /** How much a dollar and a recomputed token weigh in choices. */
+  /** Weights of cost and recomputed tokens in the choice of a backend server. */
   readonly weights: ChoiceWeights;
 }
 
-/** Weights of the choice of a backend server, per service. */
+/** A service's weights for the choice of a backend server. */
 export interface ChoiceWeights {
-  /** Multiplies the price of host time. */
+  /** Factor for the price of host time. */
   readonly cost: number;
-  /** Multiplies the price of recomputing tokens. */
+  /** Factor for the price of recomputing tokens. */
   readonly recomputedTokens: number;
 }
 
-/** What a backend server is known to do; operators state it. */
+/** Capabilities of a backend server, as declared by operators. */
 export interface BackendContract {
-  /** Whether it refuses orders with an epoch below the highest it has seen. */
+  /** Whether it refuses orders with an epoch below the highest one received. */
   readonly checksOrderEpoch: boolean;
-  /** Whether a stream can be read again from a token by its attempt id. */
+  /** Whether a stream can be resumed from a given token by its attempt id. */
   readonly resumesStreams: boolean;
-  /** Whether it exports and imports KV cache. */
+  /** Whether it exports and imports its KV cache. */
   readonly movesKeyValueCache: boolean;
-  /** Whether its `x-not-run: true` answer can be trusted. */
+  /** Whether an answer with `x-not-run: true` can be trusted. */
   readonly tellsNotRun: boolean;
 }
 
-/** One process that runs work: a model engine or a plain service's server. */
+/** A process that runs requests: a model engine or a plain service's server. */
 export interface BackendServer extends ResourceHeader<"BackendServer"> {
   readonly service: string;
   /** Name of its host on the platform's list and in reclaim notices. */
   readonly host: string;
-  /** IP number and port, as `127.0.0.1:8000`. */
+  /** IP address and port, such as `127.0.0.1:8000`. */
   readonly address: string;
   readonly dataHall: string;
   readonly hostClass: string;
-  /** Requests that it runs at once; more wait in its queue. */
+  /** Maximum number of concurrent requests; further ones wait in its queue. */
   readonly concurrency: number;
   readonly contract: BackendContract;
-  /** Set by `drain`: no new work. */
+  /** Set by `drain`: the server gets no new requests. */
   readonly draining: boolean;
 }
 
-/** One step of a routing rule: where work may go, in order of priority. */
+/** A group of backend servers that a routing rule allows, with its priority. */
 export interface RoutingTarget {
   readonly selector: Selector;
-  /** Lower goes first; targets of equal priority are one group. */
+  /** Lower values come first; targets of equal priority form one group. */
   readonly priority: number;
 }
 
-/** Decides which work may go where. */
+/** Determines which backend servers may run which requests. */
 export interface RoutingRule extends ResourceHeader<"RoutingRule"> {
-  /** Lower is asked first; the first rule that matches decides. */
+  /** Lower values come first; the first matching rule applies. */
   readonly priority: number;
   /** Matches the labels of services. */
   readonly services: Selector;
@@ -113,21 +114,21 @@
 
 /** A customer of a deployment. */
 export interface Workspace extends ResourceHeader<"Workspace"> {
-  /** SHA-256 of each accepted key, in lower-case hexadecimal. */
+  /** SHA-256 of each accepted API key, in lower-case hexadecimal. */
   readonly keyHashes: readonly string[];
-  /** Share of the capacity under contention, relative to the others. */
+  /** Share of the capacity under contention, relative to other workspaces. */
   readonly weight: number;
-  /** Higher goes first where a backend server honours priorities. */
+  /** Higher values come first, if the backend server honours priorities. */
   readonly priority: number;
 }
 
-/** A class of hosts in one data hall with its price. */
+/** A class of hosts in one data hall, with its price. */
 export interface HostClass extends ResourceHeader<"HostClass"> {
   readonly dataHall: string;
   readonly reclaimable: boolean;
-  /** US dollars an hour for one host. */
+  /** Price of one host, in US dollars per hour. */
   readonly dollarsPerHour: number;
-  /** Mean time until a reclaim, in hours; large for on-demand hosts. */
+  /** Mean time until a host is reclaimed, in hours; large for on-demand hosts. */
   readonly meanHoursToReclaim: number;
 }
 
@@ -147,12 +148,12 @@
   "HostClass",
 ];
 
-/** Key of a resource in a configuration: kind and name. */
+/** Returns the key of a resource in a configuration: kind and name. */
 export function resourceKey(resource: Pick<Resource, "kind" | "name">): string {
   return `${resource.kind}/${resource.name}`;
 }
 
-/** Tells whether labels meet a selector. */
+/** Returns whether labels match a selector. */
 export function selectorMatches(selector: Selector, labels: Labels): boolean {
   const equal = Object.entries(selector.matchLabels ?? {}).every(
     ([key, value]) => labels[key] === value,
--- a/packages/rampswitch-utils/src/abort_response.ts
+++ b/packages/rampswitch-utils/src/abort_response.ts
@@ -1,19 +1,19 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Ending an answer that has begun and can't become whole.
+ * Aborting a response that can't be completed.
  *
  * @module
  */
 import type { ServerResponse } from "node:http";
 
 /**
- * Closes the connection of an answer, so that it can't be taken for whole. What
- * was written before goes out as far as the system takes it at once.
+ * Closes the connection of a response, so that the caller does not take it for
+ * complete. Data written before is sent as far as the socket accepts it at once.
  */
 export function breakOff(response: ServerResponse): void {
-  // Node holds the bytes of one turn back, and would drop them here: the caller
-  // would get nothing of events that are ready, however often it comes back.
+  // Node corks the writes of one event loop turn, and destroy() would drop them:
+  // the caller would never get events that are ready, however often it retries.
   response.socket?.uncork();
   response.destroy();
 }
--- a/packages/rampswitch-utils/src/abort_response_test.ts
+++ b/packages/rampswitch-utils/src/abort_response_test.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// The last event of a stream and the loss of its server can be read in one turn.
-// An answer that was broken off in the turn in which a part was written took
-// that part with it: the caller got nothing of an event that was there, and,
-// where it was the first, not even the head. What is ready goes out first.
+// Guards against losing data that was written in the event loop turn in which a
+// response is aborted. The last event of a stream and the loss of its server can be
+// read in one turn. Aborting then dropped the event, and, if it was the first one,
+// also the response headers. Data that is ready must be sent first.
 
 import { createServer, get } from "node:http";
 import { describe, expect, test } from "@jest/globals";
@@ -12,7 +12,7 @@
 
 const EVENT = "id: 1\ndata: event 1\n\n";
 
-/** What a caller gets of an answer of one event, and whether it looks whole. */
+/** Returns what a caller receives of an aborted response, and whether it seems complete. */
 async function readAnswer(
   callerSends: Readonly<Record<string, string>> = {},
 ): Promise<{ readonly text: string; readonly whole: boolean }> {
@@ -40,12 +40,12 @@
   });
 }
 
-describe("an answer that breaks off", () => {
-  test("brings what was written in the same turn, and does not look whole", async () => {
+describe("an aborted response", () => {
+  test("delivers what was written in the same turn and is not complete", async () => {
     expect(await readAnswer()).toEqual({ text: EVENT, whole: false });
   });
 
-  test("does so on a connection that the caller wants closed after it", async () => {
+  test("does so on a connection that the caller asked to close", async () => {
     const closing = { connection: "close" };
     expect(await readAnswer(closing)).toEqual({ text: EVENT, whole: false });
   });
--- a/packages/rampswitch-utils/src/body.ts
+++ b/packages/rampswitch-utils/src/body.ts
@@ -1,17 +1,17 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Reading bodies within a limit.
+ * Reading request and response bodies up to a size limit.
  *
  * @module
  */
 import { Result } from "true-myth";
 import type { Readable } from "node:stream";
 
-/** Why a body could not be read. */
+/** Reason why a body could not be read: over the limit, or not complete. */
 export type BodyError = "too_large" | "cut_off";
 
-/** Reads a whole body of at most `limit` bytes. */
+/** Reads a complete body of at most `limit` bytes. */
 export function readBody(
   stream: Readable,
   limit: number,
@@ -33,7 +33,7 @@
   });
 }
 
-/** Parses JSON text as a value. */
+/** Parses JSON; the error is the parser's message. */
 export function parseJson(text: string): Result<unknown, string> {
   try {
     return Result.ok(JSON.parse(text) as unknown);
--- a/packages/rampswitch-utils/src/clock.ts
+++ b/packages/rampswitch-utils/src/clock.ts
@@ -1,21 +1,20 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Time as an interface, so that decisions and tests never read the system's
- * clock themselves.
+ * Clocks as an interface, so that code can be tested with simulated time.
  *
  * @module
  */
 
-/** A source of time and of timers. */
+/** A source of time and timers. */
 export interface Clock {
-  /** Milliseconds since the epoch. */
+  /** Returns the time in milliseconds: since the epoch, or as the clock defines. */
   now(): number;
-  /** Calls back once after some milliseconds; returns a way to cancel. */
+  /** Runs the callback once after a delay; returns a function that cancels it. */
   after(milliseconds: number, callback: () => void): () => void;
 }
 
-/** The clock of the operating system. */
+/** The operating system's time of day. */
 export const SYSTEM_CLOCK: Clock = {
   now: () => Date.now(),
   after: (milliseconds, callback) => {
@@ -25,22 +24,22 @@
 };
 
 /**
- * A clock that never jumps: milliseconds since the start of the process. For
- * durations, where the time of day does not matter.
+ * A monotonic clock: milliseconds since the start of the process. For durations,
+ * which must not change when the time of day is set.
  */
 export const STEADY_CLOCK: Clock = {
   now: () => performance.now(),
   after: (milliseconds, callback) => SYSTEM_CLOCK.after(milliseconds, callback),
 };
 
-/** Resolves after some milliseconds of the given clock. */
+/** Resolves after a delay on the given clock. */
 export function sleep(clock: Clock, milliseconds: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(milliseconds, resolve);
   });
 }
 
-/** A clock that moves only when told to; for tests and simulations. */
+/** A clock that advances only when {@link advance} is called; for tests and simulations. */
 export class ManualClock implements Clock {
   #now: number;
   #timers: readonly { readonly at: number; readonly run: () => void }[] = [];
@@ -61,7 +60,7 @@
     };
   }
 
-  /** Moves time forward and runs what came due, in order. */
+  /** Advances the time and runs the timers that are due, in order of their time. */
   advance(milliseconds: number): void {
     this.#now += milliseconds;
     const due = this.#timers
@@ -72,15 +71,16 @@
   }
 }
 
-/** A task that repeats until it is disposed of. */
+/** A task that is repeated until it is disposed of. */
 export interface Repetition extends AsyncDisposable {
-  /** Runs the task now instead of at its time. */
+  /** Runs the task without further delay; if it is running, once more after it. */
   hurry(): void;
 }
 
 /**
- * Repeats an asynchronous task, waiting between the end of one run and the
- * start of the next. Each wait is drawn anew, so that hosts do not align.
+ * Repeats an asynchronous task with a delay between the end of one run and the
+ * start of the next. `wait` is called for each delay and can add jitter, so that
+ * hosts don't synchronize.
  */
 export function repeat(
   clock: Clock,
--- a/packages/rampswitch-utils/src/disposal.ts
+++ b/packages/rampswitch-utils/src/disposal.ts
@@ -1,22 +1,22 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Ownership of resources that end asynchronously.
+ * Ownership of resources that are disposed of asynchronously.
  *
  * @module
  */
 
-/** Owns resources and disposes of them in reverse order, once. */
+/** Owns resources and disposes of them once, in reverse order. */
 export class Ownership implements AsyncDisposable {
   #owned: readonly AsyncDisposable[] = [];
 
-  /** Takes over a resource and returns it. */
+  /** Takes ownership of a resource and returns it. */
   own<Owned extends AsyncDisposable>(resource: Owned): Owned {
     this.#owned = [resource, ...this.#owned];
     return resource;
   }
 
-  /** Runs a clean-up step when this is disposed of. */
+  /** Registers a callback that runs on disposal. */
   defer(cleanUp: () => void | Promise<void>): void {
     this.own({ [Symbol.asyncDispose]: async () => await cleanUp() });
   }
--- a/packages/rampswitch-utils/src/hash.ts
+++ b/packages/rampswitch-utils/src/hash.ts
@@ -8,12 +8,12 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 import murmurhash from "murmurhash";
 
-/** Hashes text to an unsigned 32-bit number; not for secrets. */
+/** Hashes text to an unsigned 32-bit number (MurmurHash3); not for secrets. */
 export function hash32(text: string, seed = 0): number {
   return murmurhash.v3(text, seed);
 }
 
-/** SHA-256 of text in lower-case hexadecimal. */
+/** Returns the SHA-256 of text in lower-case hexadecimal. */
 export function sha256(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
@@ -25,7 +25,7 @@
   return actual.length === expected.length && timingSafeEqual(actual, expected);
 }
 
-/** Orders names by rendezvous hashing for a key, best first. */
+/** Orders names by rendezvous hashing for a key, highest score first. */
 export function rendezvousOrder(
   key: string,
   names: readonly string[],
--- a/packages/rampswitch-utils/src/hop_headers.ts
+++ b/packages/rampswitch-utils/src/hop_headers.ts
@@ -1,14 +1,14 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Headers that a host must not pass on.
+ * Headers that a host must not forward.
  *
  * @module
  */
 
 /**
- * Headers that concern one connection only (RFC 9110, section 7.6.1), in lower
- * case.
+ * Hop-by-hop headers, which concern one connection only (RFC 9110, section
+ * 7.6.1), in lower case.
  */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
--- a/packages/rampswitch-utils/src/log.ts
+++ b/packages/rampswitch-utils/src/log.ts
@@ -1,14 +1,14 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Structured logs: one JSON object a line on standard error.
+ * Structured logs: one JSON object per line on standard error.
  *
  * @module
  */
 import { Writable } from "node:stream";
 import winston from "winston";
 
-/** Levels of log lines, most serious first. */
+/** Levels of log lines, most severe first. */
 export const LOG_LEVELS = ["error", "warn", "info", "debug"] as const;
 
 /** One level of {@link LOG_LEVELS}. */
@@ -28,19 +28,20 @@
 }
 
 /**
- * Bytes that wait for a slow reader, at most; some ten seconds of lines of a busy
- * host. Without a bound a reader that stops would take the process's memory.
+ * Maximum number of bytes buffered for a slow reader, about ten seconds of lines
+ * of a busy host. Without a bound, a stalled reader would exhaust the memory of
+ * the process.
  */
 const MAXIMUM_BUFFERED_BYTES = 1024 * 1024;
 
-/** Takes lines, and tells how much of them waits. */
+/** A destination for lines that exposes how much it has buffered. */
 export interface LineOutput {
-  /** Bytes that wait for the reader. */
+  /** Bytes buffered for the reader. */
   readonly writableLength: number;
   write(line: string): unknown;
 }
 
-/** Creates a logger that adds the same fields to each line. */
+/** Creates a logger that adds `fields` to each line. */
 export function createLogger(
   level: LogLevel,
   fields: LogFields,
@@ -59,7 +60,7 @@
   });
 }
 
-/** Passes lines on, and drops those for which there is no room. */
+/** Forwards lines to the output and drops those over the bound of its buffer. */
 function boundedOutput(output: LineOutput, fields: LogFields): Writable {
   let dropped = 0;
   return new Writable({
@@ -88,7 +89,7 @@
   return `${JSON.stringify(line)}\n`;
 }
 
-/** A logger that writes nothing. */
+/** A logger that discards all lines. */
 export const SILENT_LOGGER: Logger = {
   error: () => undefined,
   warn: () => undefined,
@@ -96,7 +97,7 @@
   debug: () => undefined,
 };
 
-/** Sends what libraries print as errors through the logger. */
+/** Redirects `console.error`, which libraries use, to the logger. */
 export function adoptConsole(logger: Logger): void {
   console.error = (...parts: readonly unknown[]) => {
     logger.warn("message of a library", { text: parts.map(String).join(" ") });
--- a/packages/rampswitch-utils/src/log_test.ts
+++ b/packages/rampswitch-utils/src/log_test.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// A log whose reader has stopped filled the memory of its process: 20.8 MB lay in
-// standard error's buffer after 51,800 lines in 4.5 s. What finds no room is
-// dropped, and the next line that goes out is preceded by one that tells how many.
+// Guards against unbounded memory when the reader of the log stalls: without a
+// bound, standard error's buffer held 20.8 MB after 51,800 lines in 4.5 s. Lines
+// over the bound are dropped, and a line with their number precedes the next line.
 
 import { describe, expect, test } from "@jest/globals";
 import { createLogger, type LineOutput } from "./log.ts";
 
-/** An output whose reader takes nothing until it is told to. */
+/** An output that buffers all lines until {@link readAll} is called. */
 class StalledOutput implements LineOutput {
   readonly lines: string[] = [];
   writableLength = 0;
@@ -23,14 +23,14 @@
   }
 }
 
-/** Lines of 100 characters each, many more than there is room for. */
+/** Number of lines of 100 characters each; far more than the log buffers. */
 const LINE_COUNT = 50_000;
 
-/** More than the room that the log takes, in characters. */
+/** Upper limit for what the log may buffer, in characters; above its own bound. */
 const MAXIMUM_BUFFERED_CHARACTERS = 2 * 1024 * 1024;
 
-describe("a log whose reader has stopped", () => {
-  test("stays within its room, and tells how many lines it dropped", () => {
+describe("a log whose reader has stalled", () => {
+  test("limits what it buffers and reports the number of dropped lines", () => {
     const output = new StalledOutput();
     const logger = createLogger("info", { host: "entry-1" }, output);
     const write = () => logger.info("line", { filler: "x".repeat(100) });
@@ -49,7 +49,7 @@
     expect(output.lines[1]).toContain("filler");
   });
 
-  test("loses nothing while its reader keeps up", () => {
+  test("drops no lines while its reader keeps up", () => {
     const output = new StalledOutput();
     const logger = createLogger("info", {}, output);
     const seen = Array.from({ length: 100 }, (_, index) => {
--- a/packages/rampswitch-utils/src/metrics.ts
+++ b/packages/rampswitch-utils/src/metrics.ts
@@ -1,32 +1,32 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Counters and timers. Everything counted goes to StatsD; the totals also stay
- * in memory for the status page and for tests.
+ * Counters and timers. All metrics are sent to StatsD; totals of counters and
+ * the last values of gauges also stay in memory, for the status page and tests.
  *
  * @module
  */
 import { StatsD } from "hot-shots";
 
-/** Counters of one process. */
+/** Metrics of one process. */
 export interface Metrics extends AsyncDisposable {
-  /** Adds to the counter `name`, split by a tag where one is given. */
+  /** Adds `amount` to the counter `name`, or to `name.tag` if there is a tag. */
   count(name: string, tag?: string, amount?: number): void;
   /** Records a duration in milliseconds. */
   time(name: string, milliseconds: number): void;
   /** Sets a gauge. */
   gauge(name: string, value: number): void;
-  /** Totals since the start, by `name` or `name.tag`. */
+  /** Returns totals since the start and gauges, by `name` or `name.tag`. */
   totals(): Readonly<Record<string, number>>;
 }
 
-/** Where StatsD listens. */
+/** Address of the StatsD server. */
 export interface StatsAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** Creates metrics that go to StatsD, or nowhere without an address. */
+/** Creates metrics that are sent to StatsD, or only kept in memory without an address. */
 export function createMetrics(
   prefix: string,
   address: StatsAddress | undefined,
--- a/packages/rampswitch-utils/src/mod.ts
+++ b/packages/rampswitch-utils/src/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Helpers that all packages share.
+ * Utilities shared by all packages.
  *
  * @module
  */
--- a/packages/rampswitch-utils/src/prompt_blocks.ts
+++ b/packages/rampswitch-utils/src/prompt_blocks.ts
@@ -2,7 +2,7 @@
 
 /**
  * Blocks of prompts, by which prefix caches are compared. Engines and entry
- * hosts compute the same hashes; docs/references/engine.md defines them.
+ * hosts compute the same hashes, which docs/references/engine.md defines.
  *
  * @module
  */
@@ -10,12 +10,12 @@
 
 const RADIX = 36;
 
-/** Words of a text, which stand for its tokens. */
+/** Splits a text into words, which approximate its tokens. */
 export function promptWords(text: string): readonly string[] {
   return text.split(/\s+/).filter((word) => word !== "");
 }
 
-/** Hash of each full block of words, each covering all blocks before it. */
+/** Hashes each full block of words; a hash also covers all blocks before it. */
 export function blockHashes(
   words: readonly string[],
   blockTokens: number,
--- a/packages/rampswitch-utils/src/random.ts
+++ b/packages/rampswitch-utils/src/random.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Seeded random numbers that are passed to whoever needs them.
+ * Seeded random numbers. A generator is passed as an argument, so that tests can
+ * repeat a run.
  *
  * @module
  */
@@ -13,15 +14,15 @@
 
 /** A source of random numbers. */
 export interface Random {
-  /** A number at least 0 and below 1. */
+  /** Returns a number in [0, 1). */
   next(): number;
-  /** A whole number at least 0 and below `limit`. */
+  /** Returns an integer in [0, `limit`). */
   below(limit: number): number;
 }
 
 const RANDOM_VALUES = 2 ** 30;
 
-/** Creates a generator that repeats itself for the same seed. */
+/** Creates a generator that yields the same numbers for the same seed. */
 export function seededRandom(seed: number): Random {
   const generator: RandomGenerator = xoroshiro128plus(seed);
   return {
@@ -32,7 +33,7 @@
   };
 }
 
-/** Spreads a duration evenly over plus and minus a fraction of itself. */
+/** Varies a duration uniformly by at most plus or minus a fraction of it. */
 export function jitter(
   random: Random,
   milliseconds: number,
@@ -41,7 +42,7 @@
   return milliseconds * (1 + fraction * (2 * random.next() - 1));
 }
 
-/** Draws from an exponential distribution with the given mean. */
+/** Returns a sample of the exponential distribution with the given mean. */
 export function exponential(random: Random, mean: number): number {
   return -mean * Math.log(1 - random.next());
 }
--- a/packages/rampswitch-utils/src/suspend_aware_clock.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock.ts
@@ -1,24 +1,24 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * A clock for what must not be taken for younger than it is.
+ * A monotonic clock that counts the time for which the machine was suspended.
  *
  * @module
  */
 import type { Clock } from "./clock.ts";
 
 /**
- * Steps of the time of day that count as time which the steady clock may not have
- * seen, in milliseconds; smaller ones are its corrections and the reading of two
- * clocks one after the other.
+ * Smallest step of the time of day, relative to the monotonic clock, that counts as
+ * suspended time, in milliseconds. Smaller steps come from clock corrections and
+ * from reading the two clocks one after the other.
  */
 const MINIMUM_STEP_MILLISECONDS = 50;
 
 /**
- * A steady clock that also counts each step of the time of day ahead. The steady
- * clock of the system stands still while its machine is suspended, and the time of
- * day does not. Where the time of day was only set ahead, this clock runs ahead too:
- * what ages by it is asked for again too early, never trusted too long.
+ * A monotonic clock that adds each forward step of the time of day. The system's
+ * monotonic clock stands still while the machine is suspended; the time of day does
+ * not. If the time of day was merely set forward, this clock jumps too: data whose
+ * age it measures then expires too early, but never too late.
  */
 export class CautiousClock implements Clock {
   readonly #monotonicClock: Clock;
@@ -37,7 +37,8 @@
     const offset = this.#wallTime() - monotonicNow;
     const step = offset - this.#offset;
     if (step > MINIMUM_STEP_MILLISECONDS) this.#suspendedMilliseconds += step;
-    // Small differences add up to the pace at which two clocks part.
+    // Smaller steps leave the offset as it is, so that gradual drift between the
+    // two clocks accumulates until it counts as a step.
     if (Math.abs(step) > MINIMUM_STEP_MILLISECONDS) this.#offset = offset;
     return monotonicNow + this.#suspendedMilliseconds;
   }
--- a/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
@@ -16,14 +16,14 @@
   return { steady, wall, cautious: new CautiousClock(steady, wallTime) };
 }
 
-describe("a cautious clock", () => {
-  test("runs with the steady one", () => {
+describe("a suspend-aware clock", () => {
+  test("advances with the monotonic clock", () => {
     const { steady, cautious } = createClocks();
     steady.advance(700);
     expect(cautious.now()).toBe(1_700);
   });
 
-  test("counts the time over which the steady one stood still", () => {
+  test("counts the time for which the monotonic clock stood still", () => {
     const { steady, wall, cautious } = createClocks();
     wall.ahead += 8_000;
     steady.advance(10);
@@ -31,7 +31,7 @@
     expect(cautious.now()).toBe(9_010);
   });
 
-  test("never goes back, however the time of day is set", () => {
+  test("never goes back, whatever the time of day is set to", () => {
     const steps = fc.array(
       fc.record({
         wall: fc.integer({ min: -5_000, max: 5_000 }),
@@ -55,7 +55,7 @@
     );
   });
 
-  test("has the steady one's timers", () => {
+  test("uses the timers of the monotonic clock", () => {
     const { steady, wall, cautious } = createClocks();
     let fired = false;
     cautious.after(100, () => {
--- a/packages/rampswitch-validation/src/mod.ts
+++ b/packages/rampswitch-validation/src/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Schemas that check settings and resources early.
+ * Schemas that check settings and resources before they are used.
  *
  * @module
  */
--- a/packages/rampswitch-validation/src/problems.ts
+++ b/packages/rampswitch-validation/src/problems.ts
@@ -1,34 +1,34 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Problems found in a document, each with its path, the value found and what
- * was expected.
+ * Problems in a document, each with its path, the value found and what was
+ * expected.
  *
  * @module
  */
 import { Result } from "true-myth";
 import type * as z from "zod";
 
-/** One wrong place in a document. */
+/** One invalid value in a document. */
 export interface Problem {
-  /** Path within the document, as `listen.callers`. */
+  /** Path within the document, such as `listen.callers`. */
   readonly path: string;
-  /** The value found there, as JSON, cut short. */
+  /** The value found at the path, as truncated JSON. */
   readonly value: string;
-  /** What to write instead. */
+  /** Description of a valid value. */
   readonly expected: string;
 }
 
 const MAXIMUM_VALUE_CHARACTERS = 80;
 
-/** Writes a problem on one line. */
+/** Formats a problem as one line. */
 export function problemText(problem: Problem): string {
   return (
     `${problem.path}: found ${problem.value}, ` + `expected ${problem.expected}`
   );
 }
 
-/** Checks a value against a schema. */
+/** Validates a value against a schema. */
 export function check<Schema extends z.ZodType>(
   schema: Schema,
   value: unknown,
@@ -79,7 +79,7 @@
   );
 }
 
-/** Writes a value as JSON, cut short. */
+/** Formats a value as JSON, truncated to {@link MAXIMUM_VALUE_CHARACTERS}. */
 export function abbreviatedJson(value: unknown): string {
   const text = value === undefined ? "nothing" : JSON.stringify(value);
   return text.length <= MAXIMUM_VALUE_CHARACTERS
--- a/packages/rampswitch-validation/src/resource_schema.ts
+++ b/packages/rampswitch-validation/src/resource_schema.ts
@@ -22,17 +22,17 @@
 const HASH_PATTERN = /^[0-9a-f]{64}$/;
 const MAXIMUM_LABEL_CHARACTERS = 63;
 
-/** A resource's name. */
+/** Schema of a resource's name. */
 export const NAME_SCHEMA = z.string().regex(NAME_PATTERN, {
   message: "expected lower-case letters, digits and hyphens, at most 63",
 });
 
-/** An IP number and port. */
+/** Schema of an IPv4 address and port. */
 export const ADDRESS_SCHEMA = z.string().regex(ADDRESS_PATTERN, {
   message: "expected an IP number and port such as 10.0.0.1:8080",
 });
 
-/** SHA-256 in hexadecimal. */
+/** Schema of a SHA-256 in lower-case hexadecimal. */
 export const HASH_SCHEMA = z.string().regex(HASH_PATTERN, {
   message: "expected a SHA-256 as 64 lower-case hexadecimal digits",
 });
@@ -138,7 +138,7 @@
   }),
 } as const satisfies Readonly<Record<ResourceKind, z.ZodType<Resource>>>;
 
-/** Checks one resource. */
+/** Validates one resource. */
 export function checkResource(
   value: unknown,
 ): Result<Resource, readonly Problem[]> {
@@ -155,7 +155,7 @@
     : check<z.ZodType<Resource>>(SCHEMAS[known], value);
 }
 
-/** Checks each document of a YAML stream as a resource. */
+/** Parses a YAML stream and validates each document as a resource. */
 export function checkResources(
   text: string,
 ): Result<readonly Resource[], readonly Problem[]> {
--- a/packages/rampswitch-validation/src/settings_schema.ts
+++ b/packages/rampswitch-validation/src/settings_schema.ts
@@ -42,7 +42,7 @@
   leaseMilliseconds: milliseconds.default(15_000),
 });
 
-/** Settings of one entry process. */
+/** Schema of the settings of one entry process. */
 export const SETTINGS_SCHEMA = z.strictObject({
   host: z.strictObject({
     name: NAME_SCHEMA,
@@ -108,13 +108,13 @@
     .prefault({}),
 });
 
-/** Checked settings of one entry process. */
+/** Validated settings of one entry process. */
 export type Settings = z.output<typeof SETTINGS_SCHEMA>;
 
 /** Limits within {@link Settings}. */
 export type Limits = Settings["limits"];
 
-/** Checks the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function checkSettings(
   text: string,
 ): Result<Settings, readonly Problem[]> {
--- a/packages/rampswitch-validation/src/validation_test.ts
+++ b/packages/rampswitch-validation/src/validation_test.ts
@@ -21,7 +21,7 @@
 }
 
 describe("settings", () => {
-  test("that are right get their defaults", () => {
+  test("that are valid get the default values", () => {
     const checked = checkSettings(SETTINGS);
     expect(checked.isOk && checked.value.slots).toEqual({
       count: 64,
@@ -31,12 +31,12 @@
 
   test.each([
     [
-      "an unknown name",
+      "an unknown key",
       `${SETTINGS}lisen: 1`,
       "lisen: found 1, expected no such name here",
     ],
     [
-      "a wrong value within",
+      "an invalid nested value",
       SETTINGS.replace("10.0.0.1:7001", "localhost:7001"),
       'listen.peers: found "localhost:7001", expected an IP number and port',
     ],
@@ -50,8 +50,8 @@
       `${SETTINGS}limits: {bodyBytes: -1}`,
       "limits.bodyBytes: found -1",
     ],
-    ["text that is no YAML", "host: [", "expected YAML that parses"],
-  ])("with %s are told of by path", (_name, text, expected) => {
+    ["text that is not YAML", "host: [", "expected YAML that parses"],
+  ])("with %s are reported with the path", (_name, text, expected) => {
     expect(settingsProblems(text).join("\n")).toContain(expected);
   });
 });
@@ -76,7 +76,7 @@
         "matchExpressions: [{key: k, operator: In}]",
       "expected values for In and NotIn",
     ],
-  ])("that are wrong are told of: %#", (text, expected) => {
+  ])("that are invalid are reported: %#", (text, expected) => {
     const checked = checkResources(text);
     const problems = checked.isErr ? checked.error.map(problemText) : [];
     expect(problems.join("\n")).toContain(expected);
--- a/packages/rampswitch-validation/src/yaml_document.ts
+++ b/packages/rampswitch-validation/src/yaml_document.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * YAML documents, checked against a schema.
+ * YAML documents that are validated against a schema.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type * as z from "zod";
 import { check, type Problem, abbreviatedJson } from "./problems.ts";
 
-/** Parses YAML text and checks it against a schema. */
+/** Parses YAML text and validates it against a schema. */
 export function checkYaml<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
