--- a/packages/rampswitch-store/src/call_accounting.ts
+++ b/packages/rampswitch-store/src/call_accounting.ts
@@ -1,20 +1,22 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Accounting of calls to the platform's object API, and a ceiling on the rate
- * of one process.
+ * Counting and rate limiting of one process's calls to the platform's object API.
  *
  * @module
  */
 import type { Clock, Metrics } from "rampswitch-utils";
 
-/** Kinds of calls that the platform counts. */
+/** Kinds of calls to the object API; each has a counter. */
 export const CALL_KINDS = ["get", "list", "put", "remove", "watch"] as const;
 
 /** One kind of {@link CALL_KINDS}. */
 export type CallKind = (typeof CALL_KINDS)[number];
 
-/** Counts calls and refuses those over the ceiling. */
+/**
+ * Counts calls and rejects those over a rate limit: a token bucket that holds the
+ * calls of one second.
+ */
 export class CallAccounting {
   readonly #clock: Clock;
   readonly #metrics: Metrics;
@@ -34,7 +36,7 @@
     this.#refilledAt = clock.now();
   }
 
-  /** Counts a call, or tells that it is over the ceiling. */
+  /** Counts a call; returns `false` if it is over the rate limit. */
   admit(kind: CallKind): boolean {
     this.#refill();
     if (this.#tokens < 1) {
--- a/packages/rampswitch-store/src/conditional_change.ts
+++ b/packages/rampswitch-store/src/conditional_change.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Conditional changes whose lost answers are settled by reading back.
+ * Conditional changes of an object, with retries. After a lost answer the object
+ * is read again to find out whether the change took effect.
  *
  * @module
  */
@@ -10,12 +11,12 @@
 import type { ObjectStore, StoredObject, StoreError } from "./object_store.ts";
 import { storeBackoff } from "./http_object_store.ts";
 
-/** What a change wants: a new value, or to leave the object as it is. */
+/** Decision of a change: write a new value, or keep the object as it is. */
 export type ChangeDecision<Refusal> =
   | { readonly kind: "write"; readonly value: string }
   | { readonly kind: "keep"; readonly refusal: Refusal };
 
-/** How a change ended. */
+/** Result of a change; `unknown` if no attempt gave a definite answer. */
 export type ChangeResult<Refusal> =
   | { readonly kind: "written"; readonly object: StoredObject }
   | { readonly kind: "kept"; readonly refusal: Refusal }
@@ -24,16 +25,17 @@
 /** A change of one object. */
 export interface Change<Refusal> {
   readonly key: string;
-  /** Decides from the object as it is; called again after a conflict. */
+  /** Decides based on the current object; called again after a failed attempt. */
   readonly decide: (
     current: StoredObject | undefined,
   ) => ChangeDecision<Refusal>;
-  /** The object as last seen, to save a read. */
+  /** The object as last read; saves the first read. */
   readonly known?: StoredObject;
+  /** Maximum number of attempts. */
   readonly attempts?: number;
 }
 
-/** Time and randomness of retries. */
+/** Clock and random numbers for the delays between retries. */
 export interface ChangeOptions {
   readonly clock: Clock;
   readonly random: Random;
@@ -42,8 +44,9 @@
 const DEFAULT_MAXIMUM_ATTEMPTS = 6;
 
 /**
- * Changes an object. A lost answer is settled by the next read: `decide` must
- * recognize its own earlier write, and say `keep`.
+ * Changes an object, with retries. If an answer is lost, the write may have taken
+ * effect: `decide` must recognize its own earlier write in the object that is read
+ * next, and return `keep`.
  */
 export async function changeObject<Refusal>(
   store: ObjectStore,
--- a/packages/rampswitch-store/src/http_object_store.ts
+++ b/packages/rampswitch-store/src/http_object_store.ts
@@ -48,7 +48,7 @@
     503: () => ({ kind: "unavailable", detail: "store unavailable" }),
   };
 
-/** Codes of errors raised before a byte of the request went out. */
+/** Codes of errors that occur before any byte of the request is sent. */
 const NOT_SENT_CODES: readonly string[] = [
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -56,7 +56,7 @@
   "UND_ERR_CONNECT_TIMEOUT",
 ];
 
-/** Client of the object API; counts every call in its accounting. */
+/** HTTP client of the object API; counts and limits its calls by `accounting`. */
 export class HttpObjectStore implements ObjectStore, AsyncDisposable {
   readonly era = ONE_ERA.era;
   readonly onEra = ONE_ERA.onEra;
@@ -213,7 +213,7 @@
 const FIRST_RETRY_MILLISECONDS = 100;
 const MAXIMUM_RETRY_MILLISECONDS = 5_000;
 
-/** First and longest wait after failed calls, in milliseconds. */
+/** Initial and maximum delay after failed calls, in milliseconds. */
 export interface BackoffRange {
   readonly first: number;
   readonly longest: number;
@@ -224,7 +224,10 @@
   longest: MAXIMUM_RETRY_MILLISECONDS,
 };
 
-/** Wait before the next try after some failures, spread over its range. */
+/**
+ * Returns the delay before the next attempt, in milliseconds. It doubles with each
+ * failure up to the maximum of the range, with jitter over its upper half.
+ */
 export function storeBackoff(
   failures: number,
   random: Random,
--- a/packages/rampswitch-store/src/store_position.ts
+++ b/packages/rampswitch-store/src/store_position.ts
@@ -1,28 +1,29 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Positions in the history of a store. A store that came back from a copy gives its
- * revisions out again, so that a revision means something only within one era. A
- * position is the pair of both as one number: that of a later era is greater, whatever
- * its revision. A store that names no era has one.
+ * Positions in the history of a store, over all of its eras. A store that was
+ * restored from a copy assigns the same revisions again, so a revision is unique
+ * only within one era: the time between two restores. A position combines era and
+ * revision in one number; a later era has greater positions, whatever the revision.
+ * A store that reports no era has one, era 0.
  *
  * @module
  */
 
-/** Revisions in one era; positions of 2^20 eras are exact. */
+/** Number of revisions in one era; positions are exact integers for 2^20 eras. */
 const REVISIONS_PER_ERA = 2 ** 32;
 
-/** The position of a revision. */
+/** Returns the position of a revision in an era. */
 export function positionOf(era: number, revision: number): number {
   return era * REVISIONS_PER_ERA + revision;
 }
 
-/** Era of a position. */
+/** Returns the era of a position. */
 export function eraOf(position: number): number {
   return Math.floor(position / REVISIONS_PER_ERA);
 }
 
-/** Revision of a position, within its era. */
+/** Returns the revision of a position, within its era. */
 export function revisionOf(position: number): number {
   return position % REVISIONS_PER_ERA;
 }
--- a/packages/rampswitch-store/src/store_position_test.ts
+++ b/packages/rampswitch-store/src/store_position_test.ts
@@ -3,8 +3,8 @@
 import { describe, expect, test } from "@jest/globals";
 import { eraOf, positionOf, revisionOf } from "./store_position.ts";
 
-describe("positions in a store", () => {
-  test("of a later era are greater, whatever their revisions", () => {
+describe("positions in the history of a store", () => {
+  test("are greater in a later era, whatever their revisions", () => {
     expect(positionOf(2, 0)).toBeGreaterThan(positionOf(1, 4_000_000_000));
     expect(positionOf(1, 8)).toBeGreaterThan(positionOf(1, 7));
   });
@@ -17,7 +17,7 @@
     ]);
   });
 
-  test("of a store without eras are its revisions", () => {
+  test("equal the revisions of a store without eras", () => {
     expect(positionOf(0, 17)).toBe(17);
   });
 });
--- a/packages/rampswitch-store/src/watcher.ts
+++ b/packages/rampswitch-store/src/watcher.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * A watch that resumes after failures and never goes back in time.
+ * A watch that resumes after failures and reports changes in order: never one at an
+ * earlier position of the store's history than an object's last one.
  *
  * @module
  */
@@ -16,61 +17,65 @@
 import { storeBackoff } from "./http_object_store.ts";
 import { eraOf } from "./store_position.ts";
 
-/** Changes below a prefix, complete between two versions of the store. */
+/** All changes under a prefix between two versions of the store. */
 export interface ChangeBatch {
-  /** Whoever has followed the store this far misses nothing. */
+  /** Store version after which the changes begin; a watch that reached it misses none. */
   readonly after: number;
-  /** How far the changes reach. */
+  /** Store version up to which the changes are complete. */
   readonly version: number;
   readonly events: readonly StoreEvent[];
 }
 
-/** Changes that are kept to be passed on, in milliseconds since they came. */
+/** How long received changes are retained to be relayed, in milliseconds. */
 const CHANGE_RETENTION_MILLISECONDS = 3_000;
 
-/** How often a watch that is suspended looks whether it still is, in ms. */
+/** Interval at which a suspended watch checks whether it was resumed, in milliseconds. */
 const SUSPENSION_POLL_MILLISECONDS = 100;
 
-/** Changes found by a list that are passed on; those who miss more list themselves. */
+/**
+ * Maximum number of changes found by a list that are relayed. With more changes, the
+ * other hosts list the objects themselves.
+ */
 const MAXIMUM_LISTED_CHANGES = 100;
 
-/** Where an object that is told was found. */
+/** How a reported object was found. */
 export type ObjectOrigin =
+  /** By a change of the object. */
   | "change"
-  /** In what the store came back with in a new era; it may be of long ago. */
+  /** In the copy that the store was restored from; the object may be old. */
   | "copy";
 
-/** What a list in a new era brought, compared with what was known. */
+/** Result of a list in a new era, compared with the objects known before. */
 export interface EraList {
   readonly version: number;
-  /** Objects that are new, or other than they were known. */
+  /** Number of objects that are new or differ from the known ones. */
   readonly changed: number;
-  /** Known objects that are not there any more. */
+  /** Number of known objects that no longer exist. */
   readonly missing: number;
 }
 
-/** What a watch tells its owner. */
+/** Callbacks of a watch. */
 export interface WatchListener {
-  /** An object changed, at a later position than all that were told before. */
+  /** An object changed, at a later position than its last reported change. */
   changed(object: StoredObject, origin: ObjectOrigin): void;
   /** An object was removed. */
   removed(key: string): void;
-  /** The store answered: all changes up to now have been told. */
+  /** The store answered: all changes up to the time `at` have been reported. */
   confirmed(at: number): void;
-  /** The store did not answer. */
+  /** A call to the store failed. */
   failed(): void;
   /** All objects were listed in a new era. */
   listedInEra?(list: EraList): void;
 }
 
-/** An object as it was told. */
+/** An object as it was last reported. */
 interface KnownObject {
   readonly version: number;
-  /** Digest of its value, to find in a new era what has changed. */
+  /** Digest of its value, to detect changes in a new era. */
   readonly digest: number;
 }
 
-/** Watches all objects below a prefix. */
+/** Watches all objects under a prefix. */
 export class Watcher implements AsyncDisposable {
   readonly #store: ObjectStore;
   readonly #prefix: string;
@@ -82,7 +87,7 @@
   readonly #knownObjects = new Map<string, KnownObject>();
   readonly #repetition: Repetition;
   #version: number | undefined;
-  /** Version before history was lost. */
+  /** Version before the store's history was lost; absent if it was not. */
   #versionBeforeRelist: number | undefined;
   #newestChange = 0;
   #requestSentAt = 0;
@@ -97,11 +102,11 @@
       readonly listener: WatchListener;
       readonly clock: Clock;
       readonly random: Random;
-      /** Milliseconds to wait after each answer, so that changes coalesce. */
+      /** Delay after each answer in milliseconds, so that changes are batched. */
       readonly pause?: () => number;
-      /** Longest wait of the next watch call; the store's own where absent. */
+      /** Maximum wait of the next watch call in seconds; the store's default if absent. */
       readonly seconds?: () => number | undefined;
-      /** Milliseconds to wait after so many failures in a row. */
+      /** Delay in milliseconds after a number of consecutive failures. */
       readonly backoff?: (failures: number) => number;
     },
   ) {
@@ -125,39 +130,39 @@
     this.#repetition.hurry();
   }
 
-  /** Store version up to which all changes were told; 0 before the first. */
+  /** Store version up to which all changes were reported; 0 before the first list. */
   get version(): number {
     return this.#version ?? 0;
   }
 
-  /** Store version of the newest change that was told. */
+  /** Store version of the latest change that was reported. */
   get newestChange(): number {
     return this.#newestChange;
   }
 
-  /** When the call that waits now was sent. */
+  /** Time at which the latest call was sent. */
   get askedAt(): number {
     return this.#requestSentAt;
   }
 
-  /** Whether another host passes the changes on. */
+  /** Whether the watch is suspended because another host relays the changes. */
   get suspended(): boolean {
     return this.#suspended;
   }
 
-  /** Asks nothing from now on; another host passes the changes on. */
+  /** Stops calling the store, because another host relays the changes. */
   suspend(): void {
     if (this.#suspended) return;
     this.#suspended = true;
     this.#callAbort.abort();
   }
 
-  /** Asks the store again. */
+  /** Starts calling the store again. */
   resume(): void {
     this.#suspended = false;
   }
 
-  /** The newest changes, to pass on; `undefined` before the first list. */
+  /** Returns the recent changes, to be relayed; `undefined` before the first list. */
   recent(): ChangeBatch | undefined {
     if (this.#version === undefined) return undefined;
     const oldest = this.#clock.now() - CHANGE_RETENTION_MILLISECONDS;
@@ -169,19 +174,19 @@
     };
   }
 
-  /** Takes in changes that another host passed on; `false`: some are missing. */
+  /** Applies changes relayed by another host; returns `false` if earlier ones are missing. */
   take(batch: ChangeBatch): boolean {
     if (this.#version === undefined || this.#version < batch.after) {
       return false;
     }
-    // Whoever is in a former era knows nothing of this one.
+    // A host that is still in an earlier era does not know the changes of this one.
     if (eraOf(batch.version) < eraOf(this.#version)) return false;
     if (this.#version >= batch.version) return true;
     this.#apply(batch);
     return true;
   }
 
-  /** Gives up a call that waits and asks anew, when the way there was lost. */
+  /** Aborts a pending call and sends a new one, after its connection was lost. */
   interrupt(): void {
     this.#callAbort.abort();
   }
@@ -199,7 +204,7 @@
         ? await this.#relist()
         : await this.#watchOnce(this.#version);
     if (this.#disposalAbort.signal.aborted) return;
-    // A call that was given up on purpose tells nothing about the store.
+    // A call that this watch aborted itself is neither a success nor a failure.
     if (!succeeded && this.#callAbort.signal.aborted) return;
     this.#failures = succeeded ? 0 : this.#failures + 1;
     if (succeeded) this.#listener.confirmed(sentAt);
@@ -232,7 +237,7 @@
     return true;
   }
 
-  /** Keeps what a list found changed, for those who had followed as far. */
+  /** Retains the changes that a list found, for hosts at the same former version. */
   #retainListedChanges({
     after,
     version,
@@ -265,7 +270,7 @@
     });
     if (batch.isErr) {
       if (batch.error.kind !== "compacted") return false;
-      // Lost history confirms nothing; only the list that follows does.
+      // A lost history confirms no state; only the list that follows does.
       this.#versionBeforeRelist = this.#version ?? this.#versionBeforeRelist;
       this.#version = undefined;
       return this.#relist();
@@ -288,7 +293,7 @@
     }
     events.forEach((event) => {
       if (event.value !== undefined) {
-        // A change from before may be of an object that was removed since.
+        // An earlier change may concern an object that was removed since.
         if (event.version > known) {
           this.#report({ ...event, value: event.value }, origin);
         }
@@ -302,7 +307,10 @@
     return this.#knownObjects.get(key)?.version ?? Infinity;
   }
 
-  /** Tells of an object that is news; in a new era, positions alone are none. */
+  /**
+   * Reports an object if it changed; returns whether it was reported. In a new era all
+   * positions are later, so an object counts as changed only if its value differs.
+   */
   #report(object: StoredObject, origin: ObjectOrigin): boolean {
     const { key, version, value } = object;
     const known = this.#knownObjects.get(key);
@@ -326,7 +334,7 @@
     : "change";
 }
 
-/** Two hashes as one number, so that no two values of an object are taken for one. */
+/** Combines two hashes in one number, to make a collision of two values unlikely. */
 function digestOf(value: string): number {
   return (
     hash32(value) * DIGEST_LOWER_VALUES +
@@ -334,7 +342,7 @@
   );
 }
 
-/** Values of the lower part of a digest; all of it is an exact number. */
+/** Number of values of a digest's lower part; the whole digest is an exact integer. */
 const DIGEST_LOWER_VALUES = 2 ** 20;
 
 function newestVersion(
--- a/packages/rampswitch-store/src/watcher_test.ts
+++ b/packages/rampswitch-store/src/watcher_test.ts
@@ -13,7 +13,7 @@
 import { positionOf } from "./store_position.ts";
 import { type ChangeBatch, Watcher } from "./watcher.ts";
 
-/** A store whose watches a test answers by hand. */
+/** A store whose watch calls are answered by the test. */
 class ManualStore implements ObjectStore {
   readonly era = ONE_ERA.era;
   readonly onEra = ONE_ERA.onEra;
@@ -46,7 +46,7 @@
     this.#answer?.(Result.ok(batch));
   }
 
-  /** The history that is watched is lost. */
+  /** Answers the pending watch call that its history is lost. */
   loseHistory(): void {
     this.#answer?.(Result.err({ kind: "compacted" }));
   }
@@ -60,7 +60,7 @@
   return Promise.reject(new Error("a watch only lists and watches"));
 }
 
-/** A watch, and the objects that it told of. */
+/** A watcher, its store and the objects that it reported. */
 interface Watched {
   readonly store: ManualStore;
   readonly watcher: Watcher;
@@ -105,8 +105,8 @@
 const A: StoredObject = { key: "servers/a", version: 5, value: "a5" };
 const B: StoredObject = { key: "servers/b", version: 12, value: "b12" };
 
-describe("changes that a host passes on", () => {
-  test("bring another to the same objects without a call", async () => {
+describe("changes that a host relays", () => {
+  test("give another host the same objects without a call to the store", async () => {
     const relay = await watch([A]);
     const member = await watch([A]);
     member.watcher.suspend();
@@ -127,14 +127,14 @@
     expect(member.watcher.version).toBe(15);
   });
 
-  test("are refused where earlier ones are missing", async () => {
+  test("are refused if earlier ones are missing", async () => {
     const member = await watch([A]);
     const batch: ChangeBatch = { after: 11, version: 12, events: [B] };
     expect(member.watcher.take(batch)).toBe(false);
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
 
-  test("do not bring back what was removed meanwhile", async () => {
+  test("do not restore an object that was removed since", async () => {
     const member = await watch([A]);
     const removed = { key: B.key, version: B.version };
     member.watcher.take({ after: 10, version: 12, events: [B] });
@@ -143,7 +143,7 @@
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
 
-  test("end when the host asks the store again", async () => {
+  test("are replaced by calls to the store after the watch is resumed", async () => {
     const member = await watch([A]);
     member.watcher.suspend();
     await settle(500);
@@ -154,12 +154,12 @@
   });
 });
 
-/** Positions in the second era of a store. */
+/** Returns the position of a revision in the second era of a store. */
 function secondEra(revision: number): number {
   return positionOf(2, revision);
 }
 
-describe("a store that came back from a copy", () => {
+describe("a store that was restored from a copy", () => {
   const OLD_A = { ...A, version: positionOf(1, 9), value: "a9" };
   const OLD_B = { ...B, version: positionOf(1, 12) };
 
@@ -168,7 +168,7 @@
     return world;
   }
 
-  /** Lists anew, as after a watch whose history is over. */
+  /** Makes the watcher list again, as after the history of its watch is lost. */
   async function relist(
     { store }: Watched,
     objects: readonly StoredObject[],
@@ -179,7 +179,7 @@
     await settle();
   }
 
-  test("tells what is other than before, by content, whatever its revision", async () => {
+  test("has objects reported whose value changed, whatever their revision", async () => {
     const world = await watched();
     await relist(world, [
       { ...A, version: secondEra(5) },
@@ -197,7 +197,7 @@
     expect(world.objects.get("servers/a")).toBe("a9");
   });
 
-  test("has what was found passed on to those who had followed as far", async () => {
+  test("has changes relayed to hosts that had the same version before", async () => {
     const relay = await watched();
     const member = await watched();
     member.watcher.suspend();
@@ -207,7 +207,7 @@
     expect([...member.objects]).toEqual([["servers/a", "a5"]]);
   });
 
-  test("is not told of by those who are in its former era", async () => {
+  test("accepts no changes relayed by hosts in its former era", async () => {
     const relay = await watched();
     const member = await watched();
     await relist(member, [{ ...A, version: secondEra(5) }]);
