--- a/packages/rampswitch-protocol/src/exploration.ts
+++ b/packages/rampswitch-protocol/src/exploration.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Exploration of the slot protocol: drives the replicas of one slot through
- * every order of messages, losses, deaths and lost store answers within bounds,
- * and checks in every state that no guarded key ran twice.
+ * Exhaustive exploration of the slot protocol, as in model checking: drives the
+ * replicas of one slot through every order of messages, losses, crashes and lost store
+ * answers within bounds, and checks in every state that no guarded key ran twice.
  *
- * A message, store change or store answer that is lost is one that is never
- * delivered, and a pause is a host that other steps overtake, so neither needs
- * a step of its own. States are remembered by a 53-bit hash.
+ * A lost message, store change or store answer is one that is never delivered, and a
+ * paused host is one that other steps overtake, so neither needs a step of its own.
+ * Visited states are stored as 53-bit hashes.
  *
  * @module
  */
@@ -26,27 +26,29 @@
 export interface ExplorationBounds {
   readonly hosts: number;
   readonly keys: number;
-  /** Times that callers ask for each key, at any hosts. */
+  /** Number of requests that callers send for each key, to any hosts. */
   readonly submissionsPerKey: number;
+  /** Number of hosts that crash. */
   readonly deaths: number;
   readonly promotions: number;
-  /** Times that a primary asks its backup to take over. */
+  /** Number of times that a primary asks its backup to take over. */
   readonly handovers: number;
-  /** Times that a primary starts to fill a new backup, or drops one. */
+  /** Number of times that a primary starts to copy to a new backup, or drops one. */
   readonly replacements: number;
   readonly takeovers: number;
   readonly withdrawals: number;
-  /** Exploration ends after so many states. */
+  /** Maximum number of states to explore. */
   readonly states: number;
 }
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface ExplorationReport {
   readonly statesExplored: number;
   /** Whether every state within the bounds was reached. */
   readonly complete: boolean;
+  /** Maximum number of steps from the initial state. */
   readonly longestPath: number;
-  /** Steps to the first state that breaks an invariant. */
+  /** Steps to the first state that violates the invariant; absent if there is none. */
   readonly violation: readonly string[] | undefined;
 }
 
@@ -64,12 +66,14 @@
   states: 200_000,
 };
 
+/** A message that was sent and not delivered yet. */
 interface MessageInFlight {
   readonly from: HostId;
   readonly to: HostId;
   readonly message: SlotMessage;
 }
 
+/** How often each bounded kind of step was taken so far. */
 interface UsedBounds {
   readonly deaths: number;
   readonly promotions: number;
@@ -79,6 +83,7 @@
   readonly withdrawals: number;
 }
 
+/** What happened to one key so far. */
 interface KeyHistory {
   readonly mintedAt: number | undefined;
   readonly submissions: number;
@@ -86,6 +91,7 @@
   readonly executions: number;
 }
 
+/** State of all hosts, the store and the network. */
 interface ExplorationState {
   readonly replicas: readonly SlotReplica[];
   readonly dead: readonly HostId[];
@@ -98,13 +104,14 @@
   readonly path: Path | undefined;
 }
 
+/** Steps from the initial state to a state, as a linked list. */
 interface Path {
   readonly step: string;
   readonly previous: Path | undefined;
   readonly length: number;
 }
 
-/** A step: its name, the host that acts, and what the host does. */
+/** A transition: its name, the host that acts (empty for none) and its action. */
 interface Step {
   readonly name: string;
   readonly host: HostId;
@@ -117,7 +124,7 @@
 const HASH_SEED = 97;
 const HIGH_BITS = 2 ** 21;
 
-/** Explores the protocol breadth first under some rules. */
+/** Explores the protocol breadth first, under the given rules. */
 export function explore(
   bounds: ExplorationBounds = DEFAULT_BOUNDS,
   rules: SlotRules = SLOT_RULES,
@@ -207,6 +214,7 @@
   };
 }
 
+/** Whether a key ran twice, or more often than its requests that were not withdrawn. */
 function violatesInvariant(state: ExplorationState): boolean {
   return state.keys.some(
     ({ executions, submissions, withdrawn }) =>
@@ -237,7 +245,9 @@
       host: flight.to,
       act: (replica) => replica.receive(flight.from, flight.message),
       change: {
-        messagesInFlight: state.messagesInFlight.filter((other) => other !== flight),
+        messagesInFlight: state.messagesInFlight.filter(
+          (other) => other !== flight,
+        ),
       },
     }));
 }
@@ -246,7 +256,7 @@
   return state.proposals
     .filter(({ from }) => from?.epoch === state.store.epoch)
     .map((proposal) => ({
-      name: `store takes epoch ${proposal.to.epoch} of ${proposal.to.primary}`,
+      name: `store accepts epoch ${proposal.to.epoch} of ${proposal.to.primary}`,
       host: "",
       act: () => [],
       change: { store: proposal.to, proposals: [] },
@@ -368,7 +378,7 @@
     replica.learner === undefined &&
     used.replacements < bounds.replacements
       ? others.map((other) => ({
-          name: `${host} fills ${other}`,
+          name: `${host} copies its records to ${other}`,
           host,
           act: (fork) => fork.teach(other),
           change: { used: { ...used, replacements: used.replacements + 1 } },
@@ -378,7 +388,7 @@
     idle && replica.learner !== undefined
       ? [
           {
-            name: `${host} stops filling ${replica.learner}`,
+            name: `${host} stops copying to ${replica.learner}`,
             host,
             act: (fork) => fork.stopTeaching(),
           },
@@ -391,7 +401,7 @@
     replica.fork().take(isGone, state.time).length > 0
       ? [
           {
-            name: `${host} takes the slot`,
+            name: `${host} takes over the slot`,
             host,
             act: (fork) => fork.take(isGone, state.time),
             change: { used: { ...used, takeovers: used.takeovers + 1 } },
@@ -444,12 +454,12 @@
 ): readonly Step[] {
   if (state.used.deaths >= bounds.deaths) return [];
   return alive.map(({ self }) => ({
-    name: `${self} dies`,
+    name: `${self} crashes`,
     host: "",
     act: () => [],
     change: {
       dead: [...state.dead, self],
-      flights: state.messagesInFlight.filter(({ to }) => to !== self),
+      messagesInFlight: state.messagesInFlight.filter(({ to }) => to !== self),
       used: { ...state.used, deaths: state.used.deaths + 1 },
       time: state.time + 1,
     },
@@ -529,7 +539,7 @@
 const SHORT_HASHES = new WeakMap<object, string>();
 const RADIX = 36;
 
-/** A short text that stands for a value; computed once per object. */
+/** Returns a short hash of a value; cached per object. */
 function shortHash<Marked extends object>(
   value: Marked,
   describe: (value: Marked) => string,
--- a/packages/rampswitch-protocol/src/exploration_test.ts
+++ b/packages/rampswitch-protocol/src/exploration_test.ts
@@ -29,24 +29,24 @@
     bounds: ONE_KEY,
   },
   {
-    name: "a third host that takes without proof",
+    name: "a third host that takes over without proof",
     rules: { canTakeOver: () => true },
     bounds: ONE_KEY,
   },
   {
-    name: "a third host that serves keys older than its knowledge",
+    name: "a third host that accepts keys older than its records",
     rules: { coversKey: () => true },
     bounds: ONE_KEY,
   },
   {
-    name: "a learner whose answer is not awaited",
+    name: "a primary that does not wait for the learner's answer",
     rules: {
       holders: (entry) => (entry.backup === undefined ? [] : [entry.backup]),
     },
     bounds: { ...NO_DEATHS, promotions: 1 },
   },
   {
-    name: "a primary that keeps claims of a former tenure",
+    name: "a primary that retains claims of a former tenure",
     rules: {
       retainsClaims: () => true,
       acceptsRecord: (known) => known === undefined,
@@ -57,13 +57,13 @@
 ];
 
 describe("the slot protocol", () => {
-  test("runs no key twice in the first states of the full bounds", () => {
+  test("runs no key twice in the first 60,000 states of the default bounds", () => {
     const report = explore({ ...DEFAULT_BOUNDS, states: 60_000 });
     expect(report.violation).toBeUndefined();
     expect(report.statesExplored).toBe(60_000);
   });
 
-  test("runs a key once in every state without deaths", () => {
+  test("runs a key at most once in every state without crashes", () => {
     const report = explore({ ...NO_DEATHS, promotions: 1, handovers: 1 });
     expect(report.violation).toBeUndefined();
     expect(report.complete).toBe(true);
--- a/packages/rampswitch-protocol/src/golden_session_test.ts
+++ b/packages/rampswitch-protocol/src/golden_session_test.ts
@@ -14,7 +14,7 @@
   knownSince: 0,
 };
 
-/** A session of three hosts and one slot, written down line by line. */
+/** Records a session of three hosts and one slot, line by line. */
 class Session {
   readonly #hosts = new Map(
     ["a", "b", "c"].map((name) => [
@@ -34,7 +34,7 @@
     return `${this.#lines.join("\n")}\n`;
   }
 
-  /** Lets a host do something. */
+  /** Makes a host perform an action. */
   act(
     host: string,
     what: string,
@@ -46,7 +46,7 @@
     return this;
   }
 
-  /** A caller asks a host for a key; messages to some hosts are lost. */
+  /** A caller sends a request for a key to a host; messages to `lostTo` are lost. */
   ask(host: string, key: string, lostTo: readonly string[] = []): this {
     const replica = this.#hosts.get(host)!;
     const request = { key, keyTime: 5_000, guarded: true };
@@ -61,7 +61,7 @@
     return this;
   }
 
-  /** Hosts read the table. */
+  /** Makes hosts read the table. */
   read(...hosts: readonly string[]): this {
     hosts.forEach((host) => {
       this.#lines.push(`${host}: reads the table`);
--- a/packages/rampswitch-protocol/src/mod.ts
+++ b/packages/rampswitch-protocol/src/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Pure core of slots and claims.
+ * The slot protocol as pure functions and state machines.
  *
  * @module
  */
--- a/packages/rampswitch-protocol/src/request_id.ts
+++ b/packages/rampswitch-protocol/src/request_id.ts
@@ -12,23 +12,23 @@
 const TIME_DIGITS = 12;
 const HEXADECIMAL = 16;
 
-/** Mints the id of a request in a slot, at a time in milliseconds. */
+/** Creates a request id in a slot; `now` is in milliseconds since the Unix epoch. */
 export function mintRequestId(slot: number, now: number): string {
   return `r${slot}.${v7({ msecs: now })}`;
 }
 
-/** The slot within a minted id; `undefined` for other text. */
+/** Returns the slot within a request id; `undefined` for other text. */
 export function slotOfRequestId(id: string): number | undefined {
   const match = /^r(\d{1,6})\.[0-9a-f-]{36}$/.exec(id);
   return match?.[1] === undefined ? undefined : Number(match[1]);
 }
 
-/** The slot of a caller's key; keys of different workspaces never meet. */
+/** Returns the slot of a caller's key; the key includes the workspace. */
 export function slotOfKey(key: string, slots: number): number {
   return hash32(key) % slots;
 }
 
-/** Milliseconds within a UUIDv7; `undefined` for other keys. */
+/** Returns the milliseconds within a UUIDv7; `undefined` for other keys. */
 export function timeOfKey(key: string): number | undefined {
   if (!validate(key) || version(key) !== UUID_VERSION) return undefined;
   const digits = key.replaceAll("-", "").slice(0, TIME_DIGITS);
--- a/packages/rampswitch-protocol/src/slot_placement.ts
+++ b/packages/rampswitch-protocol/src/slot_placement.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Who should hold a slot, and the next step towards it. Every host works this
- * out alone from its view of the members; the epochs keep wrong views harmless.
+ * Which hosts should hold a slot, and the next step towards it. Each host decides
+ * alone, from its own view of the members. Wrong views do no harm, because each change
+ * is conditional on the slot's epoch.
  *
  * @module
  */
@@ -19,12 +20,12 @@
   readonly leaving: boolean;
 }
 
-/** The members as one host sees them. */
+/** One host's view of the members. */
 export interface PlacementView {
   readonly now: number;
-  /** Trusted members, this host among them. */
+  /** Trusted members, including this host. */
   readonly hosts: readonly PlacementHost[];
-  /** Whether a process is proved to be gone. */
+  /** Whether a process is proved to have ended. */
   readonly isGone: (host: HostId) => boolean;
   /** Whether the table can be changed now. */
   readonly reachesStore: boolean;
@@ -36,7 +37,17 @@
   readonly backup: HostId | undefined;
 }
 
-/** The next step of one host for one slot. */
+/**
+ * The next step of one host for one slot.
+ *
+ * - `none`: no change is needed or possible.
+ * - `promote`: as backup, become primary.
+ * - `hand_over`: as primary, ask the backup to become primary.
+ * - `teach`: as primary, copy all records to a host to make it the backup.
+ * - `stop_teaching`: as primary, stop copying records.
+ * - `drop_backup`: as primary, continue without a backup.
+ * - `take`: without a role, take over the slot.
+ */
 export type PlacementStep =
   | { readonly kind: "none" }
   | { readonly kind: "promote" }
@@ -49,8 +60,8 @@
 const NONE: PlacementStep = { kind: "none" };
 
 /**
- * Chooses holders by rendezvous hashing, so that a host that joins or leaves
- * moves only its own share. The backup is in another data hall if there is one.
+ * Chooses holders by rendezvous hashing, so that only the slots of a host that joins
+ * or leaves move. The backup is in another data hall if there is one.
  */
 export function desiredHolders(
   slot: number,
@@ -63,7 +74,7 @@
   return holders;
 }
 
-/** Holders by the view they were worked out from; views are never changed. */
+/** Cache of the holders by view and slot; views are immutable. */
 const HOLDERS_BY_VIEW = new WeakMap<
   readonly PlacementHost[],
   Map<number, DesiredHolders>
@@ -84,7 +95,7 @@
   return { primary: primary?.id, backup: backup?.id };
 }
 
-/** Entry of a slot that no host has ever held. */
+/** Returns the first entry of a slot that has none yet. */
 export function firstEntry(
   slot: number,
   hosts: readonly PlacementHost[],
@@ -95,7 +106,7 @@
     : { epoch: 1, primary, backup, knownSince: 0 };
 }
 
-/** Decides the next step of a replica's host. */
+/** Decides the next step of a replica's host for its slot. */
 export function decidePlacement(
   replica: SlotReplica,
   view: PlacementView,
@@ -174,7 +185,7 @@
   return known.has(host);
 }
 
-/** Identities in each view; views are never changed. */
+/** Cache of the host ids by view; views are immutable. */
 const IDS_BY_VIEW = new WeakMap<
   readonly PlacementHost[],
   ReadonlySet<HostId>
--- a/packages/rampswitch-protocol/src/slot_replica.ts
+++ b/packages/rampswitch-protocol/src/slot_replica.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One host's part in one slot: decisions without sockets and clocks. Time and
- * the table come in as arguments; what is to be done goes out as effects.
+ * One host's replica of one slot, without sockets and clocks. Time and table entries
+ * are passed as arguments; the actions to perform are returned as effects.
  *
  * @module
  */
@@ -21,21 +21,23 @@
   SlotTimes,
 } from "./slot_types.ts";
 
-/** What a host is for a slot. */
+/** Role of a host for a slot. */
 export type SlotRole = "none" | "primary" | "backup";
 
-/** How a replica is made. */
+/** Options of a {@link SlotReplica}. */
 export interface ReplicaOptions {
   readonly times: SlotTimes;
   readonly rules?: SlotRules;
 }
 
+/** A host that receives all records before it becomes the backup. */
 interface Learner {
   readonly host: HostId;
+  /** Whether it confirmed that it has all records. */
   readonly complete: boolean;
 }
 
-/** Statuses that become in doubt when another host takes over. */
+/** Statuses that become `in_doubt` when another host takes over. */
 const UNSETTLED_STATUSES: readonly KeyStatus[] = [
   "claiming",
   "sent",
@@ -48,11 +50,13 @@
   readonly slot: number;
   readonly #options: ReplicaOptions;
   readonly #rules: SlotRules;
-  /** When {@link prune} first met each key, on a steady clock. */
+  /** Time at which {@link prune} first saw each key, by a monotonic clock. */
   readonly #storedSince = new Map<string, number>();
   readonly #records = new Map<string, KeyRecord>();
+  /** Hosts whose answer each pending claim waits for, by key. */
   readonly #awaitedHolders = new Map<string, readonly HostId[]>();
   #entry: SlotEntry | undefined;
+  /** Messages of lower epochs are rejected. */
   #minimumEpoch = 0;
   #learner: Learner | undefined;
   #pending: Proposal | undefined;
@@ -64,7 +68,7 @@
     this.#rules = options.rules ?? SLOT_RULES;
   }
 
-  /** The highest entry of the table that is known here. */
+  /** The known table entry with the highest epoch. */
   get entry(): SlotEntry | undefined {
     return this.#entry;
   }
@@ -75,39 +79,39 @@
     return this.#entry?.backup === this.self ? "backup" : "none";
   }
 
-  /** A change of the table whose end is not known yet. */
+  /** A proposed change of the table whose outcome is not known yet. */
   get pending(): Proposal | undefined {
     return this.#pending;
   }
 
-  /** Host that is being filled to become the backup. */
+  /** The host that receives all records in order to become the backup. */
   get learner(): HostId | undefined {
     return this.#learner?.host;
   }
 
-  /** Whether a claim waits for the answers of other holders. */
+  /** Whether any claim waits for the answers of other holders. */
   get claimsWaiting(): boolean {
     return this.#awaitedHolders.size > 0;
   }
 
-  /** Number of keys remembered. */
+  /** Number of recorded keys. */
   get size(): number {
     return this.#records.size;
   }
 
-  /** The record of a key. */
+  /** Returns the record of a key. */
   record(key: string): KeyRecord | undefined {
     return this.#records.get(key);
   }
 
-  /** Keys remembered with one of some statuses. */
+  /** Returns the recorded keys that have one of the statuses. */
   keysWith(statuses: readonly KeyStatus[]): readonly string[] {
     return [...this.#records.values()]
       .filter(({ status }) => statuses.includes(status))
       .map(({ key }) => key);
   }
 
-  /** Copies the whole state. */
+  /** Returns a copy of the replica with its whole state. */
   fork(): SlotReplica {
     const copy = new SlotReplica(this.self, this.slot, this.#options);
     this.#records.forEach((record, key) => copy.#records.set(key, record));
@@ -124,7 +128,7 @@
     return copy;
   }
 
-  /** Text that is equal for equal states. */
+  /** Returns a text that is equal for equal states. */
   fingerprint(): string {
     const records = [...this.#records.values()]
       .map(({ key, status, claimant }) => `${key}${status}${claimant}`)
@@ -142,7 +146,7 @@
     ]);
   }
 
-  /** Takes in an entry of the table; older ones change nothing. */
+  /** Applies an entry of the table; entries of older epochs are ignored. */
   observe(entry: SlotEntry): readonly SlotEffect[] {
     const before = this.#entry;
     if (before !== undefined && entry.epoch <= before.epoch) return [];
@@ -160,7 +164,7 @@
       : this.#beginTenure();
   }
 
-  /** Judges a request for a key without changing anything. */
+  /** Evaluates a request for a key; changes no state. */
   judge(request: KeyRequest, now: number): KeyVerdict {
     const entry = this.#entry;
     if (entry === undefined || entry.primary !== this.self) {
@@ -184,7 +188,7 @@
       : { kind: "history_lost" };
   }
 
-  /** Records a key that {@link judge} called new, and claims it if guarded. */
+  /** Records a key that {@link judge} found new, and claims it if it is guarded. */
   open(request: KeyRequest, now: number): readonly SlotEffect[] {
     const record: KeyRecord = {
       key: request.key,
@@ -198,7 +202,7 @@
     return this.#claim(record);
   }
 
-  /** Gives up a claim; tells whether it surely was not sent. */
+  /** Withdraws a claim; returns whether the key was certainly not sent. */
   withdraw(key: string): boolean {
     const record = this.#records.get(key);
     if (record?.status !== "claiming") return false;
@@ -207,7 +211,7 @@
     return true;
   }
 
-  /** Records how a key ended and tells all holders of the slot. */
+  /** Records the final status of a key and reports it to all holders of the slot. */
   finish(key: string, status: KeyStatus): readonly SlotEffect[] {
     if (!this.#records.has(key)) return [];
     this.#setStatus(key, status);
@@ -215,10 +219,10 @@
   }
 
   /**
-   * Forgets keys that were held here for the time for which keys are remembered;
-   * those still running here stay. Counted on a steady clock from the first look at
-   * each key: a time of day that jumps ahead would end them all, and a key that comes
-   * again would count as new.
+   * Deletes the records whose retention is over, except those of requests that still
+   * run here; returns their keys. The retention is measured by a monotonic clock, from
+   * the first call that saw the key. By the time of day, a forward jump would delete
+   * all records, and a key that is sent again would count as new.
    */
   prune(monotonicNow: number): readonly string[] {
     [...this.#records.keys()]
@@ -242,8 +246,9 @@
   }
 
   /**
-   * As backup: proposes itself as primary; needs no proof of anything. After a
-   * planned handover the former primary stays as the backup: it holds all.
+   * As backup: proposes itself as primary, without a proof that the primary has ended.
+   * After a planned handover the former primary becomes the backup, because it has all
+   * records.
    */
   promote(
     options: { readonly keepPrimary?: boolean } = {},
@@ -258,7 +263,7 @@
     });
   }
 
-  /** As primary: fills a host with all records to make it the backup. */
+  /** As primary: copies all records to a host in order to make it the backup. */
   teach(host: HostId): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || this.#pending !== undefined) return [];
@@ -280,7 +285,7 @@
     ];
   }
 
-  /** As primary: gives up filling a host, unless it may be the backup. */
+  /** As primary: stops copying to a host, unless it may already be the backup. */
   stopTeaching(): readonly SlotEffect[] {
     const host = this.#learner?.host;
     if (host === undefined || this.#pending !== undefined) return [];
@@ -290,7 +295,7 @@
     );
   }
 
-  /** As primary: makes a learner that holds every record the backup. */
+  /** As primary: proposes the learner as backup once it has all records. */
   adopt(): readonly SlotEffect[] {
     const entry = this.#entry;
     const learner = this.#learner;
@@ -303,7 +308,7 @@
     });
   }
 
-  /** As primary: works on alone, where no other host can be the backup. */
+  /** As primary: continues without a backup if no other host can be the backup. */
   dropBackup(): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || entry.backup === undefined) return [];
@@ -316,7 +321,7 @@
     });
   }
 
-  /** As a third host: takes a slot of which a holder is proved gone. */
+  /** As a host without a role: takes over a slot one of whose holders has ended. */
   take(isGone: (host: HostId) => boolean, now: number): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined || this.role !== "none") return [];
@@ -329,7 +334,7 @@
     });
   }
 
-  /** As primary: asks the backup to take over, before a planned stop. */
+  /** As primary: asks the backup to become primary, before a planned stop. */
   handOver(): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || entry.backup === undefined) return [];
@@ -343,7 +348,7 @@
     ];
   }
 
-  /** Takes in a message of another host. */
+  /** Handles a message of another host. */
   receive(from: HostId, message: SlotMessage): readonly SlotEffect[] {
     const handle = this.#handlers[message.kind] as (
       from: HostId,
@@ -447,6 +452,7 @@
     return this.adopt();
   }
 
+  /** Starts as primary: guarded keys without a final status become `in_doubt`. */
   #beginTenure(): readonly SlotEffect[] {
     const unsettled = this.keysWith(UNSETTLED_STATUSES).filter(
       (key) => this.#records.get(key)?.guarded === true,
@@ -457,6 +463,7 @@
     return [{ kind: "taken_over", slot: this.slot }];
   }
 
+  /** Handles the entry that follows one with this host as primary. */
   #observeAfterTenure(
     before: SlotEntry,
     entry: SlotEntry,
--- a/packages/rampswitch-protocol/src/slot_replica_test.ts
+++ b/packages/rampswitch-protocol/src/slot_replica_test.ts
@@ -5,7 +5,7 @@
 
 const TIMES = { retention: 900_000, clockSkew: 2_000 };
 
-/** Time of day at which the key is made. */
+/** Creation time of the key, in milliseconds since the Unix epoch. */
 const KEY_TIME = 1_796_169_600_000;
 
 function replicaWith(key: string): SlotReplica {
@@ -22,7 +22,7 @@
 }
 
 describe("a key that must not run again", () => {
-  test("is remembered for its time, counted by a steady clock", () => {
+  test("is recorded for its retention, measured by a monotonic clock", () => {
     const replica = replicaWith("k");
     expect(replica.prune(10_000)).toEqual([]);
     expect(replica.prune(10_000 + TIMES.retention)).toEqual([]);
@@ -30,7 +30,7 @@
     expect(replica.size).toBe(0);
   });
 
-  test("is remembered while it runs", () => {
+  test("is recorded while it runs", () => {
     const replica = replicaWith("k");
     replica.open({ key: "runs", keyTime: KEY_TIME, guarded: false }, KEY_TIME);
     replica.prune(0);
--- a/packages/rampswitch-protocol/src/slot_rules.ts
+++ b/packages/rampswitch-protocol/src/slot_rules.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The rules that make a second execution impossible, each on its own, so that
+ * The rules that prevent a second execution. They are separate functions, so that
  * the exploration can replace one and must then find a second execution.
  *
  * @module
@@ -15,34 +15,34 @@
   SlotTimes,
 } from "./slot_types.ts";
 
-/** Statuses from which a key may be claimed (again). */
+/** Statuses in which a key may be claimed (again), because it was not sent. */
 const CLAIMABLE_STATUSES: readonly KeyStatus[] = ["claiming", "withdrawn"];
 
 /** Rules of the slot protocol. */
 export interface SlotRules {
-  /** Whether a claim under an epoch may still be held. */
+  /** Whether a claim of an epoch may still be recorded. */
   acceptsEpoch(epoch: number, floor: number): boolean;
-  /** Whether an answer to a claim counts under the epoch in force. */
+  /** Whether an answer to a claim is valid in the current epoch. */
   acceptsAnswer(epoch: number, current: number): boolean;
-  /** Whether a third host may take a slot, given who is proved gone. */
+  /** Whether a host without a role may take over a slot; a holder must have ended. */
   canTakeOver(entry: SlotEntry, isGone: (host: HostId) => boolean): boolean;
-  /** Whether the primary can know a key with this time. */
+  /** Whether the primary's records cover a key with this creation time. */
   coversKey(
     keyTime: number | undefined,
     entry: SlotEntry,
     options: { readonly now: number; readonly times: SlotTimes },
   ): boolean;
-  /** Hosts that must hold a claim before it is sent. */
+  /** Hosts that must record a claim before the key is sent. */
   holders(entry: SlotEntry, learner: HostId | undefined): readonly HostId[];
-  /** Whether a primary's unsent claims may be sent under the next entry. */
+  /** Whether a primary may send its pending claims in the next epoch. */
   retainsClaims(before: SlotEntry, after: SlotEntry, self: HostId): boolean;
-  /** Whether a record brought by a primary replaces the known one. */
+  /** Whether a record received from a primary replaces the known one. */
   acceptsRecord(known: KeyRecord | undefined): boolean;
-  /** Answer to a claim of a key that is known already, or not at all. */
+  /** Answer to a claim, given the known record of the key if there is one. */
   answerClaim(known: KeyRecord | undefined, claimed: KeyRecord): ClaimAnswer;
 }
 
-/** The rules in force. */
+/** The rules used in production. */
 export const SLOT_RULES: SlotRules = {
   acceptsEpoch: (epoch, floor) => epoch >= floor,
   acceptsAnswer: (epoch, current) => epoch === current,
--- a/packages/rampswitch-protocol/src/slot_types.ts
+++ b/packages/rampswitch-protocol/src/slot_types.ts
@@ -1,52 +1,56 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Types of the slot protocol: the table entry that the platform keeps, the
- * messages between primary and backup, and the effects of decisions.
+ * Types of the slot protocol: the slot's entry in the platform's table, the messages
+ * between primary and backup, and the effects of decisions.
  *
  * @module
  */
 import type { HostId } from "rampswitch-types";
 
 /**
- * One slot's entry in the table. It changes by conditional update only, and
- * every change raises the epoch by one.
+ * One slot's entry in the table. It is changed by conditional updates only, and each
+ * change increases the epoch by one.
  */
 export interface SlotEntry {
   readonly epoch: number;
   readonly primary: HostId;
-  /** Absent while the primary works alone. */
+  /** Absent while the primary has no backup. */
   readonly backup: HostId | undefined;
   /**
-   * Milliseconds since the epoch from which on the primary knows every key;
-   * 0 where nothing was ever lost.
+   * Time from which the primary knows all keys, in milliseconds since the Unix
+   * epoch; 0 if no records were ever lost.
    */
   readonly knownSince: number;
 }
 
 /**
- * State of one key. `claiming`: recorded, not sent. `sent`: handed to a backend
- * server, or perhaps handed by another host. `in_doubt`: never to be sent again.
- * `withdrawn`: refused before it was sent. `done`: its outcome is known.
+ * State of one key.
+ *
+ * - `claiming`: recorded, not sent.
+ * - `sent`: sent to a backend server, or possibly sent by another host.
+ * - `in_doubt`: may have run and must never be sent again.
+ * - `withdrawn`: refused before it was sent.
+ * - `done`: its outcome is known.
  */
 export type KeyStatus = "claiming" | "sent" | "in_doubt" | "withdrawn" | "done";
 
-/** What a host remembers of one key. */
+/** One host's record of one key. */
 export interface KeyRecord {
   readonly key: string;
   readonly status: KeyStatus;
   /** Whether the work must not run twice. */
   readonly guarded: boolean;
-  /** Primary that claimed the key. */
+  /** The primary that claimed the key. */
   readonly claimant: HostId;
   /**
-   * Milliseconds since the epoch at which the record was made. Nothing here goes by
-   * it; hosts of a former version forget by it.
+   * Time at which the record was created, in milliseconds since the Unix epoch. Not
+   * used by this version; hosts of an earlier version expire records by it.
    */
   readonly recordedAt: number;
 }
 
-/** Messages of the slot protocol; each names the epoch it was sent under. */
+/** Messages of the slot protocol; each contains the epoch in which it was sent. */
 export type SlotMessage =
   | {
       readonly kind: "claim";
@@ -86,20 +90,23 @@
     };
 
 /**
- * Answer to a claim. `old_epoch`: the asker must read the table. `known`: the
- * key is recorded in a state that forbids sending it.
+ * Answer to a claim.
+ *
+ * - `held`: the claim was recorded.
+ * - `old_epoch`: the claim is of an earlier epoch; its sender must read the table.
+ * - `known`: the key is recorded in a state in which it must not be sent.
  */
 export type ClaimAnswer = "held" | "old_epoch" | "known";
 
-/** A conditional change of the table. */
+/** A conditional change of a slot's entry. */
 export interface Proposal {
   readonly slot: number;
-  /** The entry that must still be in force; absent for a new slot. */
+  /** The entry that must still be current; absent for a new slot. */
   readonly from: SlotEntry | undefined;
   readonly to: SlotEntry;
 }
 
-/** What the shell has to do after a decision. */
+/** An action that the caller of a replica must perform after a decision. */
 export type SlotEffect =
   | {
       readonly kind: "send";
@@ -112,7 +119,7 @@
   | { readonly kind: "in_doubt"; readonly key: string }
   | { readonly kind: "taken_over"; readonly slot: number };
 
-/** What the primary says to a request for a key. */
+/** Decision of a replica on a request for a key. */
 export type KeyVerdict =
   | { readonly kind: "new" }
   | { readonly kind: "known"; readonly record: KeyRecord }
@@ -121,18 +128,18 @@
   | { readonly kind: "key_expired" }
   | { readonly kind: "key_time_ahead" };
 
-/** A request for a key, as the primary judges it. */
+/** A request for a key, as evaluated by the primary. */
 export interface KeyRequest {
   readonly key: string;
-  /** Time within the key, in milliseconds; absent for keys without one. */
+  /** Creation time in the key, in milliseconds since the Unix epoch, if it has one. */
   readonly keyTime: number | undefined;
   readonly guarded: boolean;
 }
 
 /** Durations of the slot protocol, in milliseconds. */
 export interface SlotTimes {
-  /** How long a key is remembered. */
+  /** How long the record of a key is retained. */
   readonly retention: number;
-  /** Largest difference between the clocks of callers and hosts. */
+  /** Maximum difference between the clocks of callers and hosts. */
   readonly clockSkew: number;
 }
--- a/packages/rampswitch-utils/src/abort_response_test.ts
+++ b/packages/rampswitch-utils/src/abort_response_test.ts
@@ -13,9 +13,9 @@
 const EVENT = "id: 1\ndata: event 1\n\n";
 
 /** Returns what a caller receives of an aborted response, and whether it seems complete. */
-async function readAnswer(
-  callerSends: Readonly<Record<string, string>> = {},
-): Promise<{ readonly text: string; readonly whole: boolean }> {
+async function readAbortedResponse(
+  requestHeaders: Readonly<Record<string, string>> = {},
+): Promise<{ readonly text: string; readonly complete: boolean }> {
   const server = createServer((_request, response) => {
     response.writeHead(200, { "content-type": "text/event-stream" });
     response.write(EVENT);
@@ -24,10 +24,10 @@
   await using listening = await listen(server, "127.0.0.1:0");
   return await new Promise((resolve) => {
     let text = "";
-    const end = (whole: boolean) => resolve({ text, whole });
+    const end = (complete: boolean) => resolve({ text, complete });
     get(
       `http://${listening.address}/`,
-      { headers: callerSends, agent: false },
+      { headers: requestHeaders, agent: false },
       (response) => {
         response.setEncoding("utf8");
         response.on("data", (part: string) => {
@@ -42,11 +42,17 @@
 
 describe("an aborted response", () => {
   test("delivers what was written in the same turn and is not complete", async () => {
-    expect(await readAnswer()).toEqual({ text: EVENT, whole: false });
+    expect(await readAbortedResponse()).toEqual({
+      text: EVENT,
+      complete: false,
+    });
   });
 
   test("does so on a connection that the caller asked to close", async () => {
     const closing = { connection: "close" };
-    expect(await readAnswer(closing)).toEqual({ text: EVENT, whole: false });
+    expect(await readAbortedResponse(closing)).toEqual({
+      text: EVENT,
+      complete: false,
+    });
   });
 });
