--- a/packages/rampswitch-protocol/src/exploration_test.ts
+++ b/packages/rampswitch-protocol/src/exploration_test.ts
@@ -22,48 +22,48 @@
   readonly bounds: ExplorationBounds;
 }
 
-const MUTATIONS: readonly Mutation[] = [
+const RULE_MUTATIONS: readonly Mutation[] = [
   {
     name: "a backup that ignores epochs",
     rules: { acceptsEpoch: () => true },
     bounds: ONE_KEY,
   },
   {
-    name: "a third host that takes without proof",
-    rules: { mayTake: () => true },
+    name: "a third host that takes over without proof",
+    rules: { canTakeOver: () => true },
     bounds: ONE_KEY,
   },
   {
-    name: "a third host that serves keys older than its knowledge",
-    rules: { knowsKey: () => true },
+    name: "a third host that accepts keys older than its records",
+    rules: { coversKey: () => true },
     bounds: ONE_KEY,
   },
   {
-    name: "a learner whose answer is not awaited",
+    name: "a primary that does not wait for the learner's answer",
     rules: {
       holders: (entry) => (entry.backup === undefined ? [] : [entry.backup]),
     },
     bounds: { ...NO_DEATHS, promotions: 1 },
   },
   {
-    name: "a primary that keeps claims of a former tenure",
+    name: "a primary that retains claims of a former tenure",
     rules: {
-      keepsClaims: () => true,
-      learns: (known) => known === undefined,
-      answerFor: () => "held",
+      retainsClaims: () => true,
+      acceptsRecord: (known) => known === undefined,
+      answerClaim: () => "held",
     },
     bounds: NO_DEATHS,
   },
 ];
 
 describe("the slot protocol", () => {
-  test("runs no key twice in the first states of the full bounds", () => {
+  test("runs no key twice in the first 60,000 states of the default bounds", () => {
     const report = explore({ ...DEFAULT_BOUNDS, states: 60_000 });
     expect(report.violation).toBeUndefined();
     expect(report.statesExplored).toBe(60_000);
   });
 
-  test("runs a key once in every state without deaths", () => {
+  test("runs a key at most once in every state without crashes", () => {
     const report = explore({ ...NO_DEATHS, promotions: 1, handovers: 1 });
     expect(report.violation).toBeUndefined();
     expect(report.complete).toBe(true);
@@ -71,7 +71,7 @@
 });
 
 describe("the exploration finds a second execution with", () => {
-  test.each(MUTATIONS)("$name", ({ rules, bounds }) => {
+  test.each(RULE_MUTATIONS)("$name", ({ rules, bounds }) => {
     const report = explore(bounds, { ...SLOT_RULES, ...rules });
     expect(report.violation).toBeDefined();
   });
--- a/packages/rampswitch-protocol/src/golden_session_test.ts
+++ b/packages/rampswitch-protocol/src/golden_session_test.ts
@@ -14,7 +14,7 @@
   knownSince: 0,
 };
 
-/** A session of three hosts and one slot, written down line by line. */
+/** Records a session of three hosts and one slot, line by line. */
 class Session {
   readonly #hosts = new Map(
     ["a", "b", "c"].map((name) => [
@@ -34,7 +34,7 @@
     return `${this.#lines.join("\n")}\n`;
   }
 
-  /** Lets a host do something. */
+  /** Makes a host perform an action. */
   act(
     host: string,
     what: string,
@@ -42,11 +42,11 @@
   ): this {
     const replica = this.#hosts.get(host)!;
     this.#lines.push(`${host}: ${what}`);
-    this.#follow(host, run(replica), []);
+    this.#applyEffects(host, run(replica), []);
     return this;
   }
 
-  /** A caller asks a host for a key; messages to some hosts are lost. */
+  /** A caller sends a request for a key to a host; messages to `lostTo` are lost. */
   ask(host: string, key: string, lostTo: readonly string[] = []): this {
     const replica = this.#hosts.get(host)!;
     const request = { key, keyTime: 5_000, guarded: true };
@@ -56,21 +56,21 @@
       this.#lines.push(`  ${key} is ${verdict.record.status}`);
     }
     if (verdict.kind === "new") {
-      this.#follow(host, replica.open(request, 5_000), lostTo);
+      this.#applyEffects(host, replica.open(request, 5_000), lostTo);
     }
     return this;
   }
 
-  /** Hosts read the table. */
+  /** Makes hosts read the table. */
   read(...hosts: readonly string[]): this {
     hosts.forEach((host) => {
       this.#lines.push(`${host}: reads the table`);
-      this.#follow(host, this.#hosts.get(host)!.observe(this.#entry), []);
+      this.#applyEffects(host, this.#hosts.get(host)!.observe(this.#entry), []);
     });
     return this;
   }
 
-  #follow(
+  #applyEffects(
     host: string,
     effects: readonly SlotEffect[],
     lostTo: readonly string[],
@@ -85,7 +85,7 @@
         );
         if (lost) return;
         const to = this.#hosts.get(effect.to)!;
-        this.#follow(effect.to, to.receive(host, effect.message), lostTo);
+        this.#applyEffects(effect.to, to.receive(host, effect.message), lostTo);
       } else if (effect.kind === "propose") {
         const { from, to } = effect.proposal;
         const won = from?.epoch === this.#entry.epoch;
--- a/packages/rampswitch-protocol/src/slot_placement.ts
+++ b/packages/rampswitch-protocol/src/slot_placement.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Who should hold a slot, and the next step towards it. Every host works this
- * out alone from its view of the members; the epochs keep wrong views harmless.
+ * Which hosts should hold a slot, and the next step towards it. Each host decides
+ * alone, from its own view of the members. Wrong views do no harm, because each change
+ * is conditional on the slot's epoch.
  *
  * @module
  */
@@ -19,12 +20,12 @@
   readonly leaving: boolean;
 }
 
-/** The members as one host sees them. */
+/** One host's view of the members. */
 export interface PlacementView {
   readonly now: number;
-  /** Trusted members, this host among them. */
+  /** Trusted members, including this host. */
   readonly hosts: readonly PlacementHost[];
-  /** Whether a process is proved to be gone. */
+  /** Whether a process is proved to have ended. */
   readonly isGone: (host: HostId) => boolean;
   /** Whether the table can be changed now. */
   readonly reachesStore: boolean;
@@ -36,7 +37,17 @@
   readonly backup: HostId | undefined;
 }
 
-/** The next step of one host for one slot. */
+/**
+ * The next step of one host for one slot.
+ *
+ * - `none`: no change is needed or possible.
+ * - `promote`: as backup, become primary.
+ * - `hand_over`: as primary, ask the backup to become primary.
+ * - `teach`: as primary, copy all records to a host to make it the backup.
+ * - `stop_teaching`: as primary, stop copying records.
+ * - `drop_backup`: as primary, continue without a backup.
+ * - `take`: without a role, take over the slot.
+ */
 export type PlacementStep =
   | { readonly kind: "none" }
   | { readonly kind: "promote" }
@@ -49,27 +60,27 @@
 const NONE: PlacementStep = { kind: "none" };
 
 /**
- * Chooses holders by rendezvous hashing, so that a host that joins or leaves
- * moves only its own share. The backup is in another data hall if there is one.
+ * Chooses holders by rendezvous hashing, so that only the slots of a host that joins
+ * or leaves move. The backup is in another data hall if there is one.
  */
 export function desiredHolders(
   slot: number,
   hosts: readonly PlacementHost[],
 ): DesiredHolders {
-  const known = HOLDERS.get(hosts) ?? new Map<number, DesiredHolders>();
-  HOLDERS.set(hosts, known);
-  const holders = known.get(slot) ?? workOutHolders(slot, hosts);
+  const known = HOLDERS_BY_VIEW.get(hosts) ?? new Map<number, DesiredHolders>();
+  HOLDERS_BY_VIEW.set(hosts, known);
+  const holders = known.get(slot) ?? computeDesiredHolders(slot, hosts);
   known.set(slot, holders);
   return holders;
 }
 
-/** Holders by the view they were worked out from; views are never changed. */
-const HOLDERS = new WeakMap<
+/** Cache of the holders by view and slot; views are immutable. */
+const HOLDERS_BY_VIEW = new WeakMap<
   readonly PlacementHost[],
   Map<number, DesiredHolders>
 >();
 
-function workOutHolders(
+function computeDesiredHolders(
   slot: number,
   hosts: readonly PlacementHost[],
 ): DesiredHolders {
@@ -84,7 +95,7 @@
   return { primary: primary?.id, backup: backup?.id };
 }
 
-/** Entry of a slot that no host has ever held. */
+/** Returns the first entry of a slot that has none yet. */
 export function firstEntry(
   slot: number,
   hosts: readonly PlacementHost[],
@@ -95,7 +106,7 @@
     : { epoch: 1, primary, backup, knownSince: 0 };
 }
 
-/** Decides the next step of a replica's host. */
+/** Decides the next step of a replica's host for its slot. */
 export function decidePlacement(
   replica: SlotReplica,
   view: PlacementView,
@@ -114,7 +125,7 @@
 const STEPS: Readonly<Record<SlotReplica["role"], StepDecision>> = {
   primary: primaryStep,
   backup: backupStep,
-  none: outsiderStep,
+  none: nonHolderStep,
 };
 
 function primaryStep(
@@ -124,13 +135,13 @@
 ): PlacementStep {
   const { learner, slot } = replica;
   if (learner !== undefined) {
-    return serves(learner, view) ? NONE : { kind: "stop_teaching" };
+    return isMember(learner, view) ? NONE : { kind: "stop_teaching" };
   }
   const desired = desiredHolders(slot, view.hosts);
   const wanted =
     desired.primary === replica.self ? desired.backup : desired.primary;
   if (wanted === undefined || wanted === replica.self) {
-    return entry.backup === undefined || serves(entry.backup, view)
+    return entry.backup === undefined || isMember(entry.backup, view)
       ? NONE
       : { kind: "drop_backup" };
   }
@@ -145,12 +156,12 @@
   entry: SlotEntry,
   view: PlacementView,
 ): PlacementStep {
-  return serves(entry.primary, view) && !view.isGone(entry.primary)
+  return isMember(entry.primary, view) && !view.isGone(entry.primary)
     ? NONE
     : { kind: "promote" };
 }
 
-function outsiderStep(
+function nonHolderStep(
   replica: SlotReplica,
   entry: SlotEntry,
   view: PlacementView,
@@ -158,20 +169,24 @@
   const holders = [entry.primary, entry.backup].filter(
     (host) => host !== undefined,
   );
-  const served = holders.some(
-    (host) => serves(host, view) && !view.isGone(host),
+  const hasServingHolder = holders.some(
+    (host) => isMember(host, view) && !view.isGone(host),
   );
-  const proved = holders.some((host) => view.isGone(host));
-  if (served || !proved) return NONE;
+  const hasEndedHolder = holders.some((host) => view.isGone(host));
+  if (hasServingHolder || !hasEndedHolder) return NONE;
   const { primary } = desiredHolders(replica.slot, view.hosts);
   return primary === replica.self ? { kind: "take" } : NONE;
 }
 
-function serves(host: HostId, view: PlacementView): boolean {
-  const known = IDS.get(view.hosts) ?? new Set(view.hosts.map(({ id }) => id));
-  IDS.set(view.hosts, known);
+function isMember(host: HostId, view: PlacementView): boolean {
+  const known =
+    IDS_BY_VIEW.get(view.hosts) ?? new Set(view.hosts.map(({ id }) => id));
+  IDS_BY_VIEW.set(view.hosts, known);
   return known.has(host);
 }
 
-/** Identities in each view; views are never changed. */
-const IDS = new WeakMap<readonly PlacementHost[], ReadonlySet<HostId>>();
+/** Cache of the host ids by view; views are immutable. */
+const IDS_BY_VIEW = new WeakMap<
+  readonly PlacementHost[],
+  ReadonlySet<HostId>
+>();
--- a/packages/rampswitch-protocol/src/slot_replica.ts
+++ b/packages/rampswitch-protocol/src/slot_replica.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * One host's part in one slot: decisions without sockets and clocks. Time and
- * the table come in as arguments; what is to be done goes out as effects.
+ * One host's replica of one slot, without sockets and clocks. Time and table entries
+ * are passed as arguments; the actions to perform are returned as effects.
  *
  * @module
  */
@@ -21,22 +21,28 @@
   SlotTimes,
 } from "./slot_types.ts";
 
-/** What a host is for a slot. */
+/** Role of a host for a slot. */
 export type SlotRole = "none" | "primary" | "backup";
 
-/** How a replica is made. */
+/** Options of a {@link SlotReplica}. */
 export interface ReplicaOptions {
   readonly times: SlotTimes;
   readonly rules?: SlotRules;
 }
 
+/** A host that receives all records before it becomes the backup. */
 interface Learner {
   readonly host: HostId;
+  /** Whether it confirmed that it has all records. */
   readonly complete: boolean;
 }
 
-/** Statuses that become in doubt when another host takes over. */
-const UNSETTLED: readonly KeyStatus[] = ["claiming", "sent", "withdrawn"];
+/** Statuses that become `in_doubt` when another host takes over. */
+const UNSETTLED_STATUSES: readonly KeyStatus[] = [
+  "claiming",
+  "sent",
+  "withdrawn",
+];
 
 /** One host's replica of one slot. */
 export class SlotReplica {
@@ -44,12 +50,14 @@
   readonly slot: number;
   readonly #options: ReplicaOptions;
   readonly #rules: SlotRules;
-  /** When {@link prune} first met each key, on a steady clock. */
-  readonly #heldSince = new Map<string, number>();
+  /** Time at which {@link prune} first saw each key, by a monotonic clock. */
+  readonly #storedSince = new Map<string, number>();
   readonly #records = new Map<string, KeyRecord>();
-  readonly #missing = new Map<string, readonly HostId[]>();
+  /** Hosts whose answer each pending claim waits for, by key. */
+  readonly #awaitedHolders = new Map<string, readonly HostId[]>();
   #entry: SlotEntry | undefined;
-  #floor = 0;
+  /** Messages of lower epochs are rejected. */
+  #minimumEpoch = 0;
   #learner: Learner | undefined;
   #pending: Proposal | undefined;
 
@@ -60,7 +68,7 @@
     this.#rules = options.rules ?? SLOT_RULES;
   }
 
-  /** The highest entry of the table that is known here. */
+  /** The known table entry with the highest epoch. */
   get entry(): SlotEntry | undefined {
     return this.#entry;
   }
@@ -71,62 +79,66 @@
     return this.#entry?.backup === this.self ? "backup" : "none";
   }
 
-  /** A change of the table whose end is not known yet. */
+  /** A proposed change of the table whose outcome is not known yet. */
   get pending(): Proposal | undefined {
     return this.#pending;
   }
 
-  /** Host that is being filled to become the backup. */
+  /** The host that receives all records in order to become the backup. */
   get learner(): HostId | undefined {
     return this.#learner?.host;
   }
 
-  /** Whether a claim waits for the answers of other holders. */
+  /** Whether any claim waits for the answers of other holders. */
   get claimsWaiting(): boolean {
-    return this.#missing.size > 0;
+    return this.#awaitedHolders.size > 0;
   }
 
-  /** Number of keys remembered. */
+  /** Number of recorded keys. */
   get size(): number {
     return this.#records.size;
   }
 
-  /** The record of a key. */
+  /** Returns the record of a key. */
   record(key: string): KeyRecord | undefined {
     return this.#records.get(key);
   }
 
-  /** Keys remembered with one of some statuses. */
+  /** Returns the recorded keys that have one of the statuses. */
   keysWith(statuses: readonly KeyStatus[]): readonly string[] {
     return [...this.#records.values()]
       .filter(({ status }) => statuses.includes(status))
       .map(({ key }) => key);
   }
 
-  /** Copies the whole state. */
+  /** Returns a copy of the replica with its whole state. */
   fork(): SlotReplica {
     const copy = new SlotReplica(this.self, this.slot, this.#options);
     this.#records.forEach((record, key) => copy.#records.set(key, record));
-    this.#missing.forEach((hosts, key) => copy.#missing.set(key, hosts));
-    this.#heldSince.forEach((since, key) => copy.#heldSince.set(key, since));
+    this.#awaitedHolders.forEach((hosts, key) =>
+      copy.#awaitedHolders.set(key, hosts),
+    );
+    this.#storedSince.forEach((since, key) =>
+      copy.#storedSince.set(key, since),
+    );
     copy.#entry = this.#entry;
-    copy.#floor = this.#floor;
+    copy.#minimumEpoch = this.#minimumEpoch;
     copy.#learner = this.#learner;
     copy.#pending = this.#pending;
     return copy;
   }
 
-  /** Text that is equal for equal states. */
+  /** Returns a text that is equal for equal states. */
   fingerprint(): string {
     const records = [...this.#records.values()]
       .map(({ key, status, claimant }) => `${key}${status}${claimant}`)
       .toSorted();
-    const missing = [...this.#missing]
+    const missing = [...this.#awaitedHolders]
       .map(([key, hosts]) => `${key}${hosts.join("+")}`)
       .toSorted();
     return JSON.stringify([
       this.#entry,
-      this.#floor,
+      this.#minimumEpoch,
       this.#learner,
       this.#pending?.to,
       records,
@@ -134,24 +146,25 @@
     ]);
   }
 
-  /** Takes in an entry of the table; older ones change nothing. */
+  /** Applies an entry of the table; entries of older epochs are ignored. */
   observe(entry: SlotEntry): readonly SlotEffect[] {
     const before = this.#entry;
     if (before !== undefined && entry.epoch <= before.epoch) return [];
     this.#entry = entry;
-    this.#floor = Math.max(this.#floor, entry.epoch);
+    this.#minimumEpoch = Math.max(this.#minimumEpoch, entry.epoch);
     if (this.#pending !== undefined && entry.epoch >= this.#pending.to.epoch) {
       this.#pending = undefined;
     }
-    if (before?.primary === this.self) return this.#afterTenure(before, entry);
+    if (before?.primary === this.self)
+      return this.#observeAfterTenure(before, entry);
     if (entry.primary !== this.self) return [];
     return before !== undefined &&
-      this.#rules.keepsClaims(before, entry, this.self)
-      ? this.#claimAnew()
-      : this.#begin();
+      this.#rules.retainsClaims(before, entry, this.self)
+      ? this.#repeatPendingClaims()
+      : this.#beginTenure();
   }
 
-  /** Judges a request for a key without changing anything. */
+  /** Evaluates a request for a key; changes no state. */
   judge(request: KeyRequest, now: number): KeyVerdict {
     const entry = this.#entry;
     if (entry === undefined || entry.primary !== this.self) {
@@ -170,12 +183,12 @@
       return { kind: "key_expired" };
     }
     return record !== undefined ||
-      this.#rules.knowsKey(keyTime, entry, { now, times })
+      this.#rules.coversKey(keyTime, entry, { now, times })
       ? { kind: "new" }
       : { kind: "history_lost" };
   }
 
-  /** Records a key that {@link judge} called new, and claims it if guarded. */
+  /** Records a key that {@link judge} found new, and claims it if it is guarded. */
   open(request: KeyRequest, now: number): readonly SlotEffect[] {
     const record: KeyRecord = {
       key: request.key,
@@ -189,52 +202,53 @@
     return this.#claim(record);
   }
 
-  /** Gives up a claim; tells whether it surely was not sent. */
+  /** Withdraws a claim; returns whether the key was certainly not sent. */
   withdraw(key: string): boolean {
     const record = this.#records.get(key);
     if (record?.status !== "claiming") return false;
     this.#setStatus(key, "withdrawn");
-    this.#missing.delete(key);
+    this.#awaitedHolders.delete(key);
     return true;
   }
 
-  /** Records how a key ended and tells all holders of the slot. */
+  /** Records the final status of a key and reports it to all holders of the slot. */
   finish(key: string, status: KeyStatus): readonly SlotEffect[] {
     if (!this.#records.has(key)) return [];
     this.#setStatus(key, status);
-    return this.#tellHolders(key, status);
+    return this.#reportToHolders(key, status);
   }
 
   /**
-   * Forgets keys that were held here for the time for which keys are remembered;
-   * those still running here stay. Counted on a steady clock from the first look at
-   * each key: a time of day that jumps ahead would end them all, and a key that comes
-   * again would count as new.
+   * Deletes the records whose retention is over, except those of requests that still
+   * run here; returns their keys. The retention is measured by a monotonic clock, from
+   * the first call that saw the key. By the time of day, a forward jump would delete
+   * all records, and a key that is sent again would count as new.
    */
-  prune(steadyNow: number): readonly string[] {
+  prune(monotonicNow: number): readonly string[] {
     [...this.#records.keys()]
-      .filter((key) => !this.#heldSince.has(key))
-      .forEach((key) => this.#heldSince.set(key, steadyNow));
-    const before = steadyNow - this.#options.times.retention;
+      .filter((key) => !this.#storedSince.has(key))
+      .forEach((key) => this.#storedSince.set(key, monotonicNow));
+    const before = monotonicNow - this.#options.times.retention;
     const running: readonly KeyStatus[] =
       this.role === "primary" ? ["claiming", "sent"] : [];
     const forgotten = [...this.#records.values()]
       .filter(
         ({ key, status }) =>
-          (this.#heldSince.get(key) ?? steadyNow) < before &&
+          (this.#storedSince.get(key) ?? monotonicNow) < before &&
           !running.includes(status),
       )
       .map(({ key }) => key);
     forgotten.forEach((key) => {
       this.#records.delete(key);
-      this.#heldSince.delete(key);
+      this.#storedSince.delete(key);
     });
     return forgotten;
   }
 
   /**
-   * As backup: proposes itself as primary; needs no proof of anything. After a
-   * planned handover the former primary stays as the backup: it holds all.
+   * As backup: proposes itself as primary, without a proof that the primary has ended.
+   * After a planned handover the former primary becomes the backup, because it has all
+   * records.
    */
   promote(
     options: { readonly keepPrimary?: boolean } = {},
@@ -249,7 +263,7 @@
     });
   }
 
-  /** As primary: fills a host with all records to make it the backup. */
+  /** As primary: copies all records to a host in order to make it the backup. */
   teach(host: HostId): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || this.#pending !== undefined) return [];
@@ -261,22 +275,27 @@
       epoch: entry.epoch,
       records: [...this.#records.values()],
     };
-    this.#missing.forEach((hosts, key) => {
+    this.#awaitedHolders.forEach((hosts, key) => {
       const others = hosts.filter((other) => other !== host);
-      this.#missing.set(key, [...others, host]);
+      this.#awaitedHolders.set(key, [...others, host]);
     });
-    return [{ kind: "send", to: host, message }, ...this.#claimsAgain(host)];
+    return [
+      { kind: "send", to: host, message },
+      ...this.#pendingClaimsTo(host),
+    ];
   }
 
-  /** As primary: gives up filling a host, unless it may be the backup. */
+  /** As primary: stops copying to a host, unless it may already be the backup. */
   stopTeaching(): readonly SlotEffect[] {
     const host = this.#learner?.host;
     if (host === undefined || this.#pending !== undefined) return [];
     this.#learner = undefined;
-    return [...this.#missing.keys()].flatMap((key) => this.#held(key, host));
+    return [...this.#awaitedHolders.keys()].flatMap((key) =>
+      this.#onHeld(key, host),
+    );
   }
 
-  /** As primary: makes a learner that holds every record the backup. */
+  /** As primary: proposes the learner as backup once it has all records. */
   adopt(): readonly SlotEffect[] {
     const entry = this.#entry;
     const learner = this.#learner;
@@ -289,7 +308,7 @@
     });
   }
 
-  /** As primary: works on alone, where no other host can be the backup. */
+  /** As primary: continues without a backup if no other host can be the backup. */
   dropBackup(): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || entry.backup === undefined) return [];
@@ -302,11 +321,11 @@
     });
   }
 
-  /** As a third host: takes a slot of which a holder is proved gone. */
+  /** As a host without a role: takes over a slot one of whose holders has ended. */
   take(isGone: (host: HostId) => boolean, now: number): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined || this.role !== "none") return [];
-    if (!this.#rules.mayTake(entry, isGone)) return [];
+    if (!this.#rules.canTakeOver(entry, isGone)) return [];
     return this.#propose({
       epoch: entry.epoch + 1,
       primary: this.self,
@@ -315,7 +334,7 @@
     });
   }
 
-  /** As primary: asks the backup to take over, before a planned stop. */
+  /** As primary: asks the backup to become primary, before a planned stop. */
   handOver(): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || entry.backup === undefined) return [];
@@ -329,7 +348,7 @@
     ];
   }
 
-  /** Takes in a message of another host. */
+  /** Handles a message of another host. */
   receive(from: HostId, message: SlotMessage): readonly SlotEffect[] {
     const handle = this.#handlers[message.kind] as (
       from: HostId,
@@ -378,8 +397,9 @@
   }
 
   #answerClaim(epoch: number, claimed: KeyRecord): ClaimAnswer {
-    if (!this.#rules.acceptsEpoch(epoch, this.#floor)) return "old_epoch";
-    return this.#rules.answerFor(this.#records.get(claimed.key), claimed);
+    if (!this.#rules.acceptsEpoch(epoch, this.#minimumEpoch))
+      return "old_epoch";
+    return this.#rules.answerClaim(this.#records.get(claimed.key), claimed);
   }
 
   #onClaimAnswer(
@@ -391,10 +411,10 @@
       return [{ kind: "read_table", slot: this.slot }];
     }
     if (entry?.primary !== this.self) return [];
-    if (!this.#rules.answerCounts(message.epoch, entry.epoch)) return [];
+    if (!this.#rules.acceptsAnswer(message.epoch, entry.epoch)) return [];
     return message.answer === "held"
-      ? this.#held(message.key, from)
-      : this.#doubt(message.key);
+      ? this.#onHeld(message.key, from)
+      : this.#markInDoubt(message.key);
   }
 
   #onStatus({
@@ -403,7 +423,7 @@
     epoch,
   }: Extract<SlotMessage, { readonly kind: "status" }>): readonly SlotEffect[] {
     const known = this.#records.get(key);
-    if (known === undefined || epoch < this.#floor) return [];
+    if (known === undefined || epoch < this.#minimumEpoch) return [];
     if (known.status !== "done") this.#setStatus(key, status);
     return [];
   }
@@ -413,9 +433,9 @@
     message: Extract<SlotMessage, { readonly kind: "learn" }>,
   ): readonly SlotEffect[] {
     const { epoch, records } = message;
-    if (!this.#rules.acceptsEpoch(epoch, this.#floor)) return [];
+    if (!this.#rules.acceptsEpoch(epoch, this.#minimumEpoch)) return [];
     records
-      .filter(({ key }) => this.#rules.learns(this.#records.get(key)))
+      .filter(({ key }) => this.#rules.acceptsRecord(this.#records.get(key)))
       .forEach((record) => this.#records.set(record.key, record));
     return [
       {
@@ -432,27 +452,36 @@
     return this.adopt();
   }
 
-  #begin(): readonly SlotEffect[] {
-    const unsettled = this.keysWith(UNSETTLED).filter(
+  /** Starts as primary: guarded keys without a final status become `in_doubt`. */
+  #beginTenure(): readonly SlotEffect[] {
+    const unsettled = this.keysWith(UNSETTLED_STATUSES).filter(
       (key) => this.#records.get(key)?.guarded === true,
     );
     unsettled.forEach((key) => this.#setStatus(key, "in_doubt"));
-    this.#missing.clear();
+    this.#awaitedHolders.clear();
     this.#learner = undefined;
     return [{ kind: "taken_over", slot: this.slot }];
   }
 
-  #afterTenure(before: SlotEntry, entry: SlotEntry): readonly SlotEffect[] {
+  /** Handles the entry that follows one with this host as primary. */
+  #observeAfterTenure(
+    before: SlotEntry,
+    entry: SlotEntry,
+  ): readonly SlotEffect[] {
     this.#learner = undefined;
-    if (this.#rules.keepsClaims(before, entry, this.self)) {
-      return this.#claimAnew();
+    if (this.#rules.retainsClaims(before, entry, this.self)) {
+      return this.#repeatPendingClaims();
     }
-    const doubts = [...this.#missing.keys()].flatMap((key) => this.#doubt(key));
-    return entry.primary === this.self ? [...doubts, ...this.#begin()] : doubts;
+    const inDoubt = [...this.#awaitedHolders.keys()].flatMap((key) =>
+      this.#markInDoubt(key),
+    );
+    return entry.primary === this.self
+      ? [...inDoubt, ...this.#beginTenure()]
+      : inDoubt;
   }
 
-  #claimAnew(): readonly SlotEffect[] {
-    return [...this.#missing.keys()].flatMap((key) => {
+  #repeatPendingClaims(): readonly SlotEffect[] {
+    return [...this.#awaitedHolders.keys()].flatMap((key) => {
       const record = this.#records.get(key);
       return record === undefined ? [] : this.#claim(record);
     });
@@ -463,15 +492,15 @@
     if (entry?.primary !== this.self) return [];
     const holders = this.#rules.holders(entry, this.#learner?.host);
     if (holders.length === 0) {
-      this.#missing.delete(record.key);
+      this.#awaitedHolders.delete(record.key);
       return this.#execute(record.key);
     }
-    this.#missing.set(record.key, holders);
+    this.#awaitedHolders.set(record.key, holders);
     return holders.map((to) => this.#claimTo(to, record));
   }
 
-  #claimsAgain(host: HostId): readonly SlotEffect[] {
-    return [...this.#missing.keys()].flatMap((key) => {
+  #pendingClaimsTo(host: HostId): readonly SlotEffect[] {
+    return [...this.#awaitedHolders.keys()].flatMap((key) => {
       const record = this.#records.get(key);
       return record === undefined ? [] : [this.#claimTo(host, record)];
     });
@@ -490,14 +519,16 @@
     };
   }
 
-  #held(key: string, by: HostId): readonly SlotEffect[] {
-    const missing = this.#missing.get(key)?.filter((host) => host !== by);
+  #onHeld(key: string, by: HostId): readonly SlotEffect[] {
+    const missing = this.#awaitedHolders
+      .get(key)
+      ?.filter((host) => host !== by);
     if (missing === undefined) return [];
     if (missing.length > 0) {
-      this.#missing.set(key, missing);
+      this.#awaitedHolders.set(key, missing);
       return [];
     }
-    this.#missing.delete(key);
+    this.#awaitedHolders.delete(key);
     return this.#execute(key);
   }
 
@@ -507,8 +538,8 @@
     return [{ kind: "execute", key }];
   }
 
-  #doubt(key: string): readonly SlotEffect[] {
-    this.#missing.delete(key);
+  #markInDoubt(key: string): readonly SlotEffect[] {
+    this.#awaitedHolders.delete(key);
     if (this.#records.get(key)?.status !== "claiming") return [];
     this.#setStatus(key, "in_doubt");
     return [{ kind: "in_doubt", key }];
@@ -523,7 +554,7 @@
     return [{ kind: "propose", proposal }];
   }
 
-  #tellHolders(key: string, status: KeyStatus): readonly SlotEffect[] {
+  #reportToHolders(key: string, status: KeyStatus): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined) return [];
     const holders = [
--- a/packages/rampswitch-store/src/watcher_test.ts
+++ b/packages/rampswitch-store/src/watcher_test.ts
@@ -13,8 +13,8 @@
 import { positionOf } from "./store_position.ts";
 import { type ChangeBatch, Watcher } from "./watcher.ts";
 
-/** A store whose watches a test answers by hand. */
-class HandStore implements ObjectStore {
+/** A store whose watch calls are answered by the test. */
+class ManualStore implements ObjectStore {
   readonly era = ONE_ERA.era;
   readonly onEra = ONE_ERA.onEra;
   objects: readonly StoredObject[] = [];
@@ -46,8 +46,8 @@
     this.#answer?.(Result.ok(batch));
   }
 
-  /** The history that is watched is lost. */
-  lose(): void {
+  /** Answers the pending watch call that its history is lost. */
+  loseHistory(): void {
     this.#answer?.(Result.err({ kind: "compacted" }));
   }
 
@@ -60,9 +60,9 @@
   return Promise.reject(new Error("a watch only lists and watches"));
 }
 
-/** A watch, and the objects that it told of. */
+/** A watcher, its store and the objects that it reported. */
 interface Watched {
-  readonly store: HandStore;
+  readonly store: ManualStore;
   readonly watcher: Watcher;
   readonly objects: Map<string, string>;
 }
@@ -77,7 +77,7 @@
 });
 
 async function watch(objects: readonly StoredObject[]): Promise<Watched> {
-  const store = new HandStore();
+  const store = new ManualStore();
   store.objects = objects;
   const seen = new Map<string, string>();
   const watcher = new Watcher(store, "servers/", {
@@ -105,8 +105,8 @@
 const A: StoredObject = { key: "servers/a", version: 5, value: "a5" };
 const B: StoredObject = { key: "servers/b", version: 12, value: "b12" };
 
-describe("changes that a host passes on", () => {
-  test("bring another to the same objects without a call", async () => {
+describe("changes that a host relays", () => {
+  test("give another host the same objects without a call to the store", async () => {
     const relay = await watch([A]);
     const member = await watch([A]);
     member.watcher.suspend();
@@ -127,14 +127,14 @@
     expect(member.watcher.version).toBe(15);
   });
 
-  test("are refused where earlier ones are missing", async () => {
+  test("are refused if earlier ones are missing", async () => {
     const member = await watch([A]);
     const batch: ChangeBatch = { after: 11, version: 12, events: [B] };
     expect(member.watcher.take(batch)).toBe(false);
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
 
-  test("do not bring back what was removed meanwhile", async () => {
+  test("do not restore an object that was removed since", async () => {
     const member = await watch([A]);
     const removed = { key: B.key, version: B.version };
     member.watcher.take({ after: 10, version: 12, events: [B] });
@@ -143,7 +143,7 @@
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
 
-  test("end when the host asks the store again", async () => {
+  test("are replaced by calls to the store after the watch is resumed", async () => {
     const member = await watch([A]);
     member.watcher.suspend();
     await settle(500);
@@ -154,12 +154,12 @@
   });
 });
 
-/** Positions in the second era of a store. */
-function second(revision: number): number {
+/** Returns the position of a revision in the second era of a store. */
+function secondEra(revision: number): number {
   return positionOf(2, revision);
 }
 
-describe("a store that came back from a copy", () => {
+describe("a store that was restored from a copy", () => {
   const OLD_A = { ...A, version: positionOf(1, 9), value: "a9" };
   const OLD_B = { ...B, version: positionOf(1, 12) };
 
@@ -168,49 +168,49 @@
     return world;
   }
 
-  /** Lists anew, as after a watch whose history is over. */
-  async function listedAnew(
+  /** Makes the watcher list again, as after the history of its watch is lost. */
+  async function relist(
     { store }: Watched,
     objects: readonly StoredObject[],
   ): Promise<void> {
-    store.version = second(6);
+    store.version = secondEra(6);
     store.objects = objects;
-    store.lose();
+    store.loseHistory();
     await settle();
   }
 
-  test("tells what is other than before, by content, whatever its revision", async () => {
+  test("has objects reported whose value changed, whatever their revision", async () => {
     const world = await watched();
-    await listedAnew(world, [
-      { ...A, version: second(5) },
-      { ...OLD_B, version: second(4) },
+    await relist(world, [
+      { ...A, version: secondEra(5) },
+      { ...OLD_B, version: secondEra(4) },
     ]);
     expect([...world.objects]).toEqual([
       ["servers/a", "a5"],
       ["servers/b", "b12"],
     ]);
     world.store.answer({
-      version: second(7),
-      events: [{ ...OLD_A, version: second(7) }],
+      version: secondEra(7),
+      events: [{ ...OLD_A, version: secondEra(7) }],
     });
     await settle();
     expect(world.objects.get("servers/a")).toBe("a9");
   });
 
-  test("has what was found passed on to those who had followed as far", async () => {
+  test("has changes relayed to hosts that had the same version before", async () => {
     const relay = await watched();
     const member = await watched();
     member.watcher.suspend();
-    await listedAnew(relay, [{ ...A, version: second(5) }]);
+    await relist(relay, [{ ...A, version: secondEra(5) }]);
     const batch = relay.watcher.recent();
     expect(batch !== undefined && member.watcher.take(batch)).toBe(true);
     expect([...member.objects]).toEqual([["servers/a", "a5"]]);
   });
 
-  test("is not told of by those who are in its former era", async () => {
+  test("accepts no changes relayed by hosts in its former era", async () => {
     const relay = await watched();
     const member = await watched();
-    await listedAnew(member, [{ ...A, version: second(5) }]);
+    await relist(member, [{ ...A, version: secondEra(5) }]);
     const batch = relay.watcher.recent();
     expect(batch !== undefined && member.watcher.take(batch)).toBe(false);
   });
--- /dev/null
+++ b/packages/rampswitch-utils/src/abort_response_test.ts
@@ -0,0 +1,58 @@
+// Copyright 2026 the rampswitch authors. Apache-2.0 license.
+
+// Guards against losing data that was written in the event loop turn in which a
+// response is aborted. The last event of a stream and the loss of its server can be
+// read in one turn. Aborting then dropped the event, and, if it was the first one,
+// also the response headers. Data that is ready must be sent first.
+
+import { createServer, get } from "node:http";
+import { describe, expect, test } from "@jest/globals";
+import { breakOff } from "./abort_response.ts";
+import { listen } from "./listen.ts";
+
+const EVENT = "id: 1\ndata: event 1\n\n";
+
+/** Returns what a caller receives of an aborted response, and whether it seems complete. */
+async function readAbortedResponse(
+  requestHeaders: Readonly<Record<string, string>> = {},
+): Promise<{ readonly text: string; readonly complete: boolean }> {
+  const server = createServer((_request, response) => {
+    response.writeHead(200, { "content-type": "text/event-stream" });
+    response.write(EVENT);
+    breakOff(response);
+  });
+  await using listening = await listen(server, "127.0.0.1:0");
+  return await new Promise((resolve) => {
+    let text = "";
+    const end = (complete: boolean) => resolve({ text, complete });
+    get(
+      `http://${listening.address}/`,
+      { headers: requestHeaders, agent: false },
+      (response) => {
+        response.setEncoding("utf8");
+        response.on("data", (part: string) => {
+          text += part;
+        });
+        response.on("end", () => end(true));
+        response.on("error", () => end(false));
+      },
+    ).on("error", () => end(false));
+  });
+}
+
+describe("an aborted response", () => {
+  test("delivers what was written in the same turn and is not complete", async () => {
+    expect(await readAbortedResponse()).toEqual({
+      text: EVENT,
+      complete: false,
+    });
+  });
+
+  test("does so on a connection that the caller asked to close", async () => {
+    const closing = { connection: "close" };
+    expect(await readAbortedResponse(closing)).toEqual({
+      text: EVENT,
+      complete: false,
+    });
+  });
+});
--- a/packages/rampswitch-utils/src/log_test.ts
+++ b/packages/rampswitch-utils/src/log_test.ts
@@ -1,14 +1,14 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// A log whose reader has stopped filled the memory of its process: 20.8 MB lay in
-// standard error's buffer after 51,800 lines in 4.5 s. What finds no room is
-// dropped, and the next line that goes out is preceded by one that tells how many.
+// Guards against unbounded memory when the reader of the log stalls: without a
+// bound, standard error's buffer held 20.8 MB after 51,800 lines in 4.5 s. Lines
+// over the bound are dropped, and a line with their number precedes the next line.
 
 import { describe, expect, test } from "@jest/globals";
 import { createLogger, type LineOutput } from "./log.ts";
 
-/** An output whose reader takes nothing until it is told to. */
-class StoppedOutput implements LineOutput {
+/** An output that buffers all lines until {@link readAll} is called. */
+class StalledOutput implements LineOutput {
   readonly lines: string[] = [];
   writableLength = 0;
 
@@ -23,19 +23,19 @@
   }
 }
 
-/** Lines of 100 characters each, many more than there is room for. */
-const MANY_LINES = 50_000;
+/** Number of lines of 100 characters each; far more than the log buffers. */
+const LINE_COUNT = 50_000;
 
-/** More than the room that the log takes, in characters. */
-const ROOM = 2 * 1024 * 1024;
+/** Upper limit for what the log may buffer, in characters; above its own bound. */
+const MAXIMUM_BUFFERED_CHARACTERS = 2 * 1024 * 1024;
 
-describe("a log whose reader has stopped", () => {
-  test("stays within its room, and tells how many lines it dropped", () => {
-    const output = new StoppedOutput();
+describe("a log whose reader has stalled", () => {
+  test("limits what it buffers and reports the number of dropped lines", () => {
+    const output = new StalledOutput();
     const logger = createLogger("info", { host: "entry-1" }, output);
     const write = () => logger.info("line", { filler: "x".repeat(100) });
-    Array.from({ length: MANY_LINES }).forEach(write);
-    expect(output.writableLength).toBeLessThan(ROOM);
+    Array.from({ length: LINE_COUNT }).forEach(write);
+    expect(output.writableLength).toBeLessThan(MAXIMUM_BUFFERED_CHARACTERS);
     const written = output.lines.length;
     output.readAll();
     write();
@@ -44,13 +44,13 @@
       level: "warn",
       message: "log lines dropped",
       host: "entry-1",
-      lines: MANY_LINES - written,
+      lines: LINE_COUNT - written,
     });
     expect(output.lines[1]).toContain("filler");
   });
 
-  test("loses nothing while its reader keeps up", () => {
-    const output = new StoppedOutput();
+  test("drops no lines while its reader keeps up", () => {
+    const output = new StalledOutput();
     const logger = createLogger("info", {}, output);
     const seen = Array.from({ length: 100 }, (_, index) => {
       logger.info("line", { index });
--- a/packages/rampswitch-utils/src/mod.ts
+++ b/packages/rampswitch-utils/src/mod.ts
@@ -1,13 +1,13 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Helpers that all packages share.
+ * Utilities shared by all packages.
  *
  * @module
  */
 export * from "./body.ts";
-export * from "./break_off.ts";
-export * from "./cautious_clock.ts";
+export * from "./abort_response.ts";
+export * from "./suspend_aware_clock.ts";
 export * from "./clock.ts";
 export * from "./disposal.ts";
 export * from "./hash.ts";
--- a/packages/rampswitch-utils/src/cautious_clock_test.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
@@ -2,10 +2,10 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { CautiousClock } from "./cautious_clock.ts";
+import { CautiousClock } from "./suspend_aware_clock.ts";
 import { ManualClock } from "./clock.ts";
 
-function observed(): {
+function createClocks(): {
   readonly steady: ManualClock;
   readonly wall: { ahead: number };
   readonly cautious: CautiousClock;
@@ -16,22 +16,22 @@
   return { steady, wall, cautious: new CautiousClock(steady, wallTime) };
 }
 
-describe("a cautious clock", () => {
-  test("runs with the steady one", () => {
-    const { steady, cautious } = observed();
+describe("a suspend-aware clock", () => {
+  test("advances with the monotonic clock", () => {
+    const { steady, cautious } = createClocks();
     steady.advance(700);
     expect(cautious.now()).toBe(1_700);
   });
 
-  test("counts the time over which the steady one stood still", () => {
-    const { steady, wall, cautious } = observed();
+  test("counts the time for which the monotonic clock stood still", () => {
+    const { steady, wall, cautious } = createClocks();
     wall.ahead += 8_000;
     steady.advance(10);
     expect(cautious.now()).toBe(9_010);
     expect(cautious.now()).toBe(9_010);
   });
 
-  test("never goes back, however the time of day is set", () => {
+  test("never goes back, whatever the time of day is set to", () => {
     const steps = fc.array(
       fc.record({
         wall: fc.integer({ min: -5_000, max: 5_000 }),
@@ -41,7 +41,7 @@
     );
     fc.assert(
       fc.property(steps, (taken) => {
-        const { steady, wall, cautious } = observed();
+        const { steady, wall, cautious } = createClocks();
         let before = cautious.now();
         taken.forEach((step) => {
           wall.ahead += step.wall;
@@ -55,16 +55,16 @@
     );
   });
 
-  test("has the steady one's timers", () => {
-    const { steady, wall, cautious } = observed();
-    let rung = false;
+  test("uses the timers of the monotonic clock", () => {
+    const { steady, wall, cautious } = createClocks();
+    let fired = false;
     cautious.after(100, () => {
-      rung = true;
+      fired = true;
     });
     wall.ahead += 8_000;
     steady.advance(99);
-    expect(rung).toBe(false);
+    expect(fired).toBe(false);
     steady.advance(1);
-    expect(rung).toBe(true);
+    expect(fired).toBe(true);
   });
 });
--- a/packages/rampswitch-validation/src/problems.ts
+++ b/packages/rampswitch-validation/src/problems.ts
@@ -1,34 +1,34 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Problems found in a document, each with its path, the value found and what
- * was expected.
+ * Problems in a document, each with its path, the value found and what was
+ * expected.
  *
  * @module
  */
 import { Result } from "true-myth";
 import type * as z from "zod";
 
-/** One wrong place in a document. */
+/** One invalid value in a document. */
 export interface Problem {
-  /** Path within the document, as `listen.callers`. */
+  /** Path within the document, such as `listen.callers`. */
   readonly path: string;
-  /** The value found there, as JSON, cut short. */
+  /** The value found at the path, as truncated JSON. */
   readonly value: string;
-  /** What to write instead. */
+  /** Description of a valid value. */
   readonly expected: string;
 }
 
-const MAXIMUM_SHOWN_VALUE = 80;
+const MAXIMUM_VALUE_CHARACTERS = 80;
 
-/** Writes a problem on one line. */
+/** Formats a problem as one line. */
 export function problemText(problem: Problem): string {
   return (
     `${problem.path}: found ${problem.value}, ` + `expected ${problem.expected}`
   );
 }
 
-/** Checks a value against a schema. */
+/** Validates a value against a schema. */
 export function check<Schema extends z.ZodType>(
   schema: Schema,
   value: unknown,
@@ -47,14 +47,14 @@
   if (issue.code === "unrecognized_keys") {
     return issue.keys.map((key) => ({
       path: pathText([...issue.path, key]),
-      value: shown(valueAt(root, [...issue.path, key])),
+      value: abbreviatedJson(valueAt(root, [...issue.path, key])),
       expected: "no such name here; see the reference for the known ones",
     }));
   }
   return [
     {
       path: pathText(issue.path),
-      value: shown(valueAt(root, issue.path)),
+      value: abbreviatedJson(valueAt(root, issue.path)),
       expected: expectedText(issue),
     },
   ];
@@ -79,10 +79,10 @@
   );
 }
 
-/** Writes a value as JSON, cut short. */
-export function shown(value: unknown): string {
+/** Formats a value as JSON, truncated to {@link MAXIMUM_VALUE_CHARACTERS}. */
+export function abbreviatedJson(value: unknown): string {
   const text = value === undefined ? "nothing" : JSON.stringify(value);
-  return text.length <= MAXIMUM_SHOWN_VALUE
+  return text.length <= MAXIMUM_VALUE_CHARACTERS
     ? text
-    : `${text.slice(0, MAXIMUM_SHOWN_VALUE)}…`;
+    : `${text.slice(0, MAXIMUM_VALUE_CHARACTERS)}…`;
 }
--- a/packages/rampswitch-validation/src/settings_schema.ts
+++ b/packages/rampswitch-validation/src/settings_schema.ts
@@ -12,7 +12,7 @@
 import { checkYaml } from "./yaml_document.ts";
 import { ADDRESS_SCHEMA, HASH_SCHEMA, NAME_SCHEMA } from "./resource_schema.ts";
 
-const MINIMUM_SECRET = 16;
+const MINIMUM_SECRET_CHARACTERS = 16;
 const KIBIBYTE = 1024;
 const MEBIBYTE = KIBIBYTE * KIBIBYTE;
 const milliseconds = z.int().positive();
@@ -42,7 +42,7 @@
   leaseMilliseconds: milliseconds.default(15_000),
 });
 
-/** Settings of one entry process. */
+/** Schema of the settings of one entry process. */
 export const SETTINGS_SCHEMA = z.strictObject({
   host: z.strictObject({
     name: NAME_SCHEMA,
@@ -69,8 +69,8 @@
       }),
     )
     .default([]),
-  peerSecret: z.string().min(MINIMUM_SECRET, {
-    message: `expected at least ${MINIMUM_SECRET} characters`,
+  peerSecret: z.string().min(MINIMUM_SECRET_CHARACTERS, {
+    message: `expected at least ${MINIMUM_SECRET_CHARACTERS} characters`,
   }),
   platform: z.strictObject({
     objects: ADDRESS_SCHEMA,
@@ -108,13 +108,13 @@
     .prefault({}),
 });
 
-/** Checked settings of one entry process. */
+/** Validated settings of one entry process. */
 export type Settings = z.output<typeof SETTINGS_SCHEMA>;
 
 /** Limits within {@link Settings}. */
 export type Limits = Settings["limits"];
 
-/** Checks the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function checkSettings(
   text: string,
 ): Result<Settings, readonly Problem[]> {
