--- a/packages/rampswitch-entry/src/configuration/configuration_service.ts
+++ b/packages/rampswitch-entry/src/configuration/configuration_service.ts
@@ -149,7 +149,7 @@
           () => this.#confirm(),
         ),
       )
-      .hurry();
+      .runNow();
   }
 
   /** Takes a change of an operator. */
--- a/packages/rampswitch-entry/src/entry_parts.ts
+++ b/packages/rampswitch-entry/src/entry_parts.ts
@@ -24,7 +24,7 @@
   Ownership,
   type Random,
   seededRandom,
-  STEADY_CLOCK,
+  MONOTONIC_CLOCK,
 } from "rampswitch-utils";
 import type { Settings } from "rampswitch-validation";
 import { AdmissionGate } from "./admission/admission_gate.ts";
@@ -221,7 +221,7 @@
     const { limits, slots } = this.settings;
     return new SlotService({
       ...this.#shared,
-      steadyClock: STEADY_CLOCK,
+      steadyClock: MONOTONIC_CLOCK,
       self: this.self.id,
       slots: slots.count,
       times: {
--- a/packages/rampswitch-entry/src/intake/problem.ts
+++ b/packages/rampswitch-entry/src/intake/problem.ts
@@ -12,7 +12,7 @@
   RAN_BY_OUTCOME,
   type RefusalReason,
 } from "rampswitch-types";
-import { breakOff } from "rampswitch-utils";
+import { abortResponse } from "rampswitch-utils";
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -124,7 +124,7 @@
 ): void {
   if (response.destroyed || response.writableEnded) return;
   if (response.headersSent) {
-    breakOff(response);
+    abortResponse(response);
     return;
   }
   const document = problemDocument(outcome, options);
--- a/packages/rampswitch-entry/src/main.ts
+++ b/packages/rampswitch-entry/src/main.ts
@@ -7,7 +7,7 @@
  */
 import { Command } from "commander";
 import { readFileSync } from "node:fs";
-import { adoptConsole, createLogger, SYSTEM_CLOCK } from "rampswitch-utils";
+import { redirectConsoleErrors, createLogger, SYSTEM_CLOCK } from "rampswitch-utils";
 import {
   checkSettings,
   problemText,
@@ -40,7 +40,7 @@
     host: settings.host.name,
     dataHall: settings.host.dataHall,
   });
-  adoptConsole(logger);
+  redirectConsoleErrors(logger);
   const entry = await EntryProcess.start(settings, {
     clock: SYSTEM_CLOCK,
     logger,
--- a/packages/rampswitch-entry/src/membership/membership_service.ts
+++ b/packages/rampswitch-entry/src/membership/membership_service.ts
@@ -224,7 +224,7 @@
           () => this.#beat(),
         ),
       )
-      .hurry();
+      .runNow();
     this.#owned
       .own(
         repeat(
@@ -233,7 +233,7 @@
           () => this.#pollPlatform(),
         ),
       )
-      .hurry();
+      .runNow();
   }
 
   /** Says from now on that this host is leaving. */
--- a/packages/rampswitch-entry/src/outcome/retained_requests.ts
+++ b/packages/rampswitch-entry/src/outcome/retained_requests.ts
@@ -8,7 +8,7 @@
  */
 import {
   type KeyRequest,
-  type KeyVerdict,
+  type KeyDecision,
   mintRequestId,
   slotOfKey,
   slotOfRequestId,
@@ -170,7 +170,7 @@
     work: RetainedWork,
     found: {
       readonly answer: Answer;
-      readonly verdict: Extract<KeyVerdict, { readonly kind: "known" }>;
+      readonly verdict: Extract<KeyDecision, { readonly kind: "known" }>;
     },
   ): void {
     const { answer, verdict } = found;
@@ -347,7 +347,7 @@
  * Verdicts on keys whose request may have run before. Work that is not guarded
  * runs all the same, since it may be repeated.
  */
-const UNKNOWN_HISTORY_VERDICTS: readonly KeyVerdict["kind"][] = [
+const UNKNOWN_HISTORY_VERDICTS: readonly KeyDecision["kind"][] = [
   "history_lost",
   "key_expired",
 ];
@@ -368,7 +368,7 @@
 );
 
 const VERDICT_OUTCOMES: Readonly<
-  Record<KeyVerdict["kind"], (verdict: KeyVerdict) => ProblemOutcome>
+  Record<KeyDecision["kind"], (verdict: KeyDecision) => ProblemOutcome>
 > = {
   new: () => TAKEN_OVER,
   known: (verdict) =>
--- a/packages/rampswitch-entry/src/replication/slot_service.ts
+++ b/packages/rampswitch-entry/src/replication/slot_service.ts
@@ -13,7 +13,7 @@
   type KeyRecord,
   type KeyRequest,
   type KeyStatus,
-  type KeyVerdict,
+  type KeyDecision,
   type PlacementStep,
   type PlacementView,
   type SlotEffect,
@@ -191,11 +191,11 @@
   }
 
   /** Judges a request for a key. */
-  judge(slot: number, request: KeyRequest): KeyVerdict {
+  judge(slot: number, request: KeyRequest): KeyDecision {
     const replica = this.#replicas[slot];
     return replica === undefined
       ? { kind: "not_primary", primary: undefined }
-      : replica.judge(request, this.#options.clock.now());
+      : replica.evaluate(request, this.#options.clock.now());
   }
 
   /** Records a new key; resolves once it may be sent, or may never be. */
@@ -301,7 +301,7 @@
       return [];
     }
     this.#closing.set(slot, since);
-    return replica.claimsWaiting ? [] : replica.handOver();
+    return replica.hasPendingClaims ? [] : replica.handOver();
   }
 
   async #createMissing(view: PlacementView): Promise<void> {
@@ -366,9 +366,9 @@
     none: () => [],
     promote: (replica) => replica.promote(),
     hand_over: (replica) => this.#handOver(replica),
-    teach: (replica, { host }) => replica.teach(host),
-    stop_teaching: (replica) => replica.stopTeaching(),
+    teach: (replica, { host }) => replica.addLearner(host),
+    stop_teaching: (replica) => replica.removeLearner(),
     drop_backup: (replica) => replica.dropBackup(),
-    take: (replica, _step, view) => replica.take(view.isGone, view.now),
+    take: (replica, _step, view) => replica.takeOver(view.isGone, view.now),
   };
 }
--- a/packages/rampswitch-measure/src/demo.ts
+++ b/packages/rampswitch-measure/src/demo.ts
@@ -8,7 +8,7 @@
  */
 import { EntryProcess } from "rampswitch-entry";
 import {
-  adoptConsole,
+  redirectConsoleErrors,
   createLogger,
   Ownership,
   SYSTEM_CLOCK,
@@ -33,7 +33,7 @@
 /** Runs until it is stopped. */
 export async function runDemo(): Promise<void> {
   const owned = new Ownership();
-  adoptConsole(createLogger("error", {}));
+  redirectConsoleErrors(createLogger("error", {}));
   const platform = owned.own(
     await LocalPlatform.start({
       dataHalls: DATA_HALLS,
--- a/packages/rampswitch-protocol/src/exploration.ts
+++ b/packages/rampswitch-protocol/src/exploration.ts
@@ -297,7 +297,7 @@
     if (history.submissions >= bounds.submissionsPerKey) return [];
     const keyTime = history.mintedAt ?? state.time;
     const request = { key: `k${index}`, keyTime, guarded: true };
-    if (replica.judge(request, state.time).kind !== "new") return [];
+    if (replica.evaluate(request, state.time).kind !== "new") return [];
     const keys = state.keys.with(index, {
       ...history,
       mintedAt: keyTime,
@@ -380,7 +380,7 @@
       ? others.map((other) => ({
           name: `${host} copies its records to ${other}`,
           host,
-          act: (fork) => fork.teach(other),
+          act: (fork) => fork.addLearner(other),
           change: { used: { ...used, replacements: used.replacements + 1 } },
         }))
       : [];
@@ -390,7 +390,7 @@
           {
             name: `${host} stops copying to ${replica.learner}`,
             host,
-            act: (fork) => fork.stopTeaching(),
+            act: (fork) => fork.removeLearner(),
           },
         ]
       : [];
@@ -398,12 +398,12 @@
     idle &&
     replica.role === "none" &&
     used.takeovers < bounds.takeovers &&
-    replica.fork().take(isGone, state.time).length > 0
+    replica.fork().takeOver(isGone, state.time).length > 0
       ? [
           {
             name: `${host} takes over the slot`,
             host,
-            act: (fork) => fork.take(isGone, state.time),
+            act: (fork) => fork.takeOver(isGone, state.time),
             change: { used: { ...used, takeovers: used.takeovers + 1 } },
           },
         ]
--- a/packages/rampswitch-protocol/src/golden_session_test.ts
+++ b/packages/rampswitch-protocol/src/golden_session_test.ts
@@ -50,7 +50,7 @@
   ask(host: string, key: string, lostTo: readonly string[] = []): this {
     const replica = this.#hosts.get(host)!;
     const request = { key, keyTime: 5_000, guarded: true };
-    const verdict = replica.judge(request, 5_000);
+    const verdict = replica.evaluate(request, 5_000);
     this.#lines.push(`${host}: asked for ${key}: ${verdict.kind}`);
     if (verdict.kind === "known") {
       this.#lines.push(`  ${key} is ${verdict.record.status}`);
@@ -121,7 +121,7 @@
       .ask("b", "k2")
       .read("a")
       .ask("a", "k2")
-      .act("b", "fills c", (replica) => replica.teach("c"))
+      .act("b", "fills c", (replica) => replica.addLearner("c"))
       .read("b", "c")
       .ask("b", "k4"),
   handover: () =>
@@ -136,10 +136,10 @@
     new Session()
       .ask("a", "k1")
       .act("c", "takes the slot without proof", (replica) =>
-        replica.take(() => false, 6_000),
+        replica.takeOver(() => false, 6_000),
       )
       .act("c", "takes the slot, a is gone", (replica) =>
-        replica.take((host) => host === "a", 6_000),
+        replica.takeOver((host) => host === "a", 6_000),
       )
       .read("c")
       .ask("c", "k1"),
--- a/packages/rampswitch-protocol/src/slot_replica.ts
+++ b/packages/rampswitch-protocol/src/slot_replica.ts
@@ -13,7 +13,7 @@
   KeyRecord,
   KeyRequest,
   KeyStatus,
-  KeyVerdict,
+  KeyDecision,
   Proposal,
   SlotEffect,
   SlotEntry,
@@ -90,7 +90,7 @@
   }
 
   /** Whether any claim waits for the answers of other holders. */
-  get claimsWaiting(): boolean {
+  get hasPendingClaims(): boolean {
     return this.#awaitedHolders.size > 0;
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** Evaluates a request for a key; changes no state. */
-  judge(request: KeyRequest, now: number): KeyVerdict {
+  evaluate(request: KeyRequest, now: number): KeyDecision {
     const entry = this.#entry;
     if (entry === undefined || entry.primary !== this.self) {
       return { kind: "not_primary", primary: entry?.primary };
@@ -188,7 +188,7 @@
       : { kind: "history_lost" };
   }
 
-  /** Records a key that {@link judge} found new, and claims it if it is guarded. */
+  /** Records a key that {@link evaluate} found new, and claims it if it is guarded. */
   open(request: KeyRequest, now: number): readonly SlotEffect[] {
     const record: KeyRecord = {
       key: request.key,
@@ -264,7 +264,7 @@
   }
 
   /** As primary: copies all records to a host in order to make it the backup. */
-  teach(host: HostId): readonly SlotEffect[] {
+  addLearner(host: HostId): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry?.primary !== this.self || this.#pending !== undefined) return [];
     if (host === this.self || host === entry.backup) return [];
@@ -286,7 +286,7 @@
   }
 
   /** As primary: stops copying to a host, unless it may already be the backup. */
-  stopTeaching(): readonly SlotEffect[] {
+  removeLearner(): readonly SlotEffect[] {
     const host = this.#learner?.host;
     if (host === undefined || this.#pending !== undefined) return [];
     this.#learner = undefined;
@@ -296,7 +296,7 @@
   }
 
   /** As primary: proposes the learner as backup once it has all records. */
-  adopt(): readonly SlotEffect[] {
+  promoteLearner(): readonly SlotEffect[] {
     const entry = this.#entry;
     const learner = this.#learner;
     if (entry?.primary !== this.self || learner?.complete !== true) return [];
@@ -322,7 +322,7 @@
   }
 
   /** As a host without a role: takes over a slot one of whose holders has ended. */
-  take(isGone: (host: HostId) => boolean, now: number): readonly SlotEffect[] {
+  takeOver(isGone: (host: HostId) => boolean, now: number): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined || this.role !== "none") return [];
     if (!this.#rules.canTakeOver(entry, isGone)) return [];
@@ -449,7 +449,7 @@
   #onLearned(from: HostId, epoch: number): readonly SlotEffect[] {
     if (this.#learner?.host !== from || epoch !== this.#entry?.epoch) return [];
     this.#learner = { host: from, complete: true };
-    return this.adopt();
+    return this.promoteLearner();
   }
 
   /** Starts as primary: guarded keys without a final status become `in_doubt`. */
--- a/packages/rampswitch-protocol/src/slot_types.ts
+++ b/packages/rampswitch-protocol/src/slot_types.ts
@@ -120,7 +120,7 @@
   | { readonly kind: "taken_over"; readonly slot: number };
 
 /** Decision of a replica on a request for a key. */
-export type KeyVerdict =
+export type KeyDecision =
   | { readonly kind: "new" }
   | { readonly kind: "known"; readonly record: KeyRecord }
   | { readonly kind: "not_primary"; readonly primary: HostId | undefined }
--- a/packages/rampswitch-serving/src/configuration/configuration_follower.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower.ts
@@ -286,7 +286,7 @@
 
   #catchUp(watcher: Watcher, newestChange: number): void {
     const now = this.#parts.clock.now();
-    const waited = now - watcher.askedAt;
+    const waited = now - watcher.requestSentAt;
     const behind = newestChange > watcher.version && !watcher.suspended;
     if (!behind || waited < CATCH_UP_GRACE_MILLISECONDS) return;
     const interrupted = this.#interruptedAt.get(watcher) ?? -Infinity;
@@ -384,7 +384,7 @@
 
   /** Applies the configuration that a relay forwarded. */
   receiveConfiguration(changes: ChangeBatch): void {
-    if (this.#configuration.take(changes)) this.#behindSince = undefined;
+    if (this.#configuration.applyRelayed(changes)) this.#behindSince = undefined;
   }
 
   #suspendPolling(): void {
@@ -412,7 +412,7 @@
       age >= MAXIMUM_OWN_CONFIRMATION_AGE_MILLISECONDS
     )
       return undefined;
-    const recent = this.#servers.recent();
+    const recent = this.#servers.recentChanges();
     return recent && { ...recent, events: recent.events.map(forwardable) };
   }
 
@@ -423,7 +423,7 @@
   receiveServers(batch: ChangeBatch | undefined): void {
     if (!this.#serversListed) return;
     const now = this.#parts.clock.now();
-    if (batch !== undefined && this.#servers.take(batch)) {
+    if (batch !== undefined && this.#servers.applyRelayed(batch)) {
       this.#serversRelayedAt = now;
       this.#servers.suspend();
     } else if (now - this.#serversRelayedAt >= OTHER_RELAY_GRACE_MILLISECONDS) {
@@ -513,8 +513,8 @@
       ...options,
       backoff: (failures) =>
         storeBackoff(failures, random, {
-          first: FIRST_RETRY_WAIT_MILLISECONDS,
-          longest: this.#maximumRetryWait(),
+          initial: FIRST_RETRY_WAIT_MILLISECONDS,
+          maximum: this.#maximumRetryWait(),
         }),
     });
   }
--- a/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
+++ b/packages/rampswitch-serving/src/duties/duty_keeper_test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, test } from "@jest/globals";
 import {
-  CautiousClock,
+  SuspendAwareClock,
   ManualClock,
   seededRandom,
   SILENT_LOGGER,
@@ -151,7 +151,7 @@
     leaseKey: "leases/duties",
     times: TIMES,
     clock,
-    cautiousClock: new CautiousClock(clock, wallTime),
+    cautiousClock: new SuspendAwareClock(clock, wallTime),
     random,
     logger: SILENT_LOGGER,
     metrics: new ServingMetrics(),
--- a/packages/rampswitch-serving/src/membership/host_registry.ts
+++ b/packages/rampswitch-serving/src/membership/host_registry.ts
@@ -76,7 +76,7 @@
       () => jitter(parts.random, this.#interval()),
       () => this.#read(),
     );
-    this.#repetition.hurry();
+    this.#repetition.runNow();
     parts.store.onEra(() => this.#registerAgain());
   }
 
@@ -92,7 +92,7 @@
   /** Registers again: a store restored from a copy may lack this host's entry. */
   #registerAgain(): void {
     this.#registered = false;
-    this.#repetition.hurry();
+    this.#repetition.runNow();
   }
 
   #interval(): number {
--- a/packages/rampswitch-serving/src/membership/membership_test.ts
+++ b/packages/rampswitch-serving/src/membership/membership_test.ts
@@ -4,7 +4,7 @@
 import fc from "fast-check";
 import { Result } from "true-myth";
 import {
-  CautiousClock,
+  SuspendAwareClock,
   type Clock,
   ManualClock,
   Ownership,
@@ -338,7 +338,7 @@
     const suspended = await openHost("b", {
       ...shared,
       received,
-      cautiousClock: new CautiousClock(clock, wallTime),
+      cautiousClock: new SuspendAwareClock(clock, wallTime),
     });
     for (let at = 0; at < 2_000; at += 50) await step(clock, 50);
     const update = received.at(-1);
--- a/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
+++ b/packages/rampswitch-serving/src/quarantine/quarantine_store.ts
@@ -85,7 +85,7 @@
       () => jitter(parts.random, this.#wait()),
       () => this.#synchronize(),
     );
-    this.#repetition.hurry();
+    this.#repetition.runNow();
     // A copy that the store was restored from may lack what was written before.
     parts.store.onEra(() => {
       if (parts.quarantine.stored().length > 0) this.scheduleWrite();
@@ -95,7 +95,7 @@
   /** Schedules a write of the current quarantine. */
   scheduleWrite(): void {
     this.#hasChanges = true;
-    this.#repetition.hurry();
+    this.#repetition.runNow();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
--- a/packages/rampswitch-serving/src/relay/caller_answer.ts
+++ b/packages/rampswitch-serving/src/relay/caller_answer.ts
@@ -8,7 +8,7 @@
  */
 import type { ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import { breakOff } from "rampswitch-utils";
+import { abortResponse } from "rampswitch-utils";
 import type { RawHeaders } from "../model/request.ts";
 
 /** The answer to one caller. */
@@ -84,7 +84,7 @@
   abort(): void {
     if (this.#finished) return;
     this.#finished = true;
-    breakOff(this.#response);
+    abortResponse(this.#response);
   }
 
   /** Records that the caller has disconnected. */
--- a/packages/rampswitch-serving/src/rollout/rollout_store.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_store.ts
@@ -92,7 +92,7 @@
 
   /** Reads the specs soon, since a version appeared that no known spec names. */
   unknownVersion(): void {
-    this.#listReads.hurry();
+    this.#listReads.runNow();
   }
 
   /** Stores due states one after the other. */
--- a/packages/rampswitch-serving/src/serving_host.ts
+++ b/packages/rampswitch-serving/src/serving_host.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import {
-  CautiousClock,
+  SuspendAwareClock,
   type Clock,
   type Logger,
   Ownership,
@@ -123,7 +123,7 @@
 export class ServingHost implements AsyncDisposable {
   #settings: ServingSettings;
   readonly #ports: ServingPorts;
-  readonly #cautiousClock: CautiousClock;
+  readonly #cautiousClock: SuspendAwareClock;
   readonly #ownership = new Ownership();
   readonly #lifecycle = new ServingLifecycle();
   readonly #directory = new ServerDirectory();
@@ -160,7 +160,7 @@
     this.#settings = settings;
     this.#ports = ports;
     const { bounds } = settings;
-    this.#cautiousClock = new CautiousClock(ports.clock, ports.wallTime);
+    this.#cautiousClock = new SuspendAwareClock(ports.clock, ports.wallTime);
     this.#limits = new WorkspaceLimits(
       limitTolerance(bounds),
       PACE_BY_ROLE.direct,
--- a/packages/rampswitch-store/src/http_object_store.ts
+++ b/packages/rampswitch-store/src/http_object_store.ts
@@ -215,13 +215,13 @@
 
 /** Initial and maximum delay after failed calls, in milliseconds. */
 export interface BackoffRange {
-  readonly first: number;
-  readonly longest: number;
+  readonly initial: number;
+  readonly maximum: number;
 }
 
 const DEFAULT_BACKOFF_RANGE: BackoffRange = {
-  first: FIRST_RETRY_MILLISECONDS,
-  longest: MAXIMUM_RETRY_MILLISECONDS,
+  initial: FIRST_RETRY_MILLISECONDS,
+  maximum: MAXIMUM_RETRY_MILLISECONDS,
 };
 
 /**
@@ -234,8 +234,8 @@
   range: BackoffRange = DEFAULT_BACKOFF_RANGE,
 ): number {
   const maximum = Math.min(
-    range.longest,
-    range.first * 2 ** Math.min(failures, 16),
+    range.maximum,
+    range.initial * 2 ** Math.min(failures, 16),
   );
   return maximum * (0.5 + random.next() / 2);
 }
--- a/packages/rampswitch-store/src/watcher.ts
+++ b/packages/rampswitch-store/src/watcher.ts
@@ -127,7 +127,7 @@
       },
       () => (this.#suspended ? Promise.resolve() : this.#poll()),
     );
-    this.#repetition.hurry();
+    this.#repetition.runNow();
   }
 
   /** Store version up to which all changes were reported; 0 before the first list. */
@@ -141,7 +141,7 @@
   }
 
   /** Time at which the latest call was sent. */
-  get askedAt(): number {
+  get requestSentAt(): number {
     return this.#requestSentAt;
   }
 
@@ -163,7 +163,7 @@
   }
 
   /** Returns the recent changes, to be relayed; `undefined` before the first list. */
-  recent(): ChangeBatch | undefined {
+  recentChanges(): ChangeBatch | undefined {
     if (this.#version === undefined) return undefined;
     const oldest = this.#clock.now() - CHANGE_RETENTION_MILLISECONDS;
     this.#recentBatches = this.#recentBatches.filter(({ at }) => at >= oldest);
@@ -175,7 +175,7 @@
   }
 
   /** Applies changes relayed by another host; returns `false` if earlier ones are missing. */
-  take(batch: ChangeBatch): boolean {
+  applyRelayed(batch: ChangeBatch): boolean {
     if (this.#version === undefined || this.#version < batch.after) {
       return false;
     }
--- a/packages/rampswitch-store/src/watcher_test.ts
+++ b/packages/rampswitch-store/src/watcher_test.ts
@@ -119,7 +119,7 @@
     });
     await settle();
     const before = member.store.calls;
-    expect(member.watcher.take(relay.watcher.recent()!)).toBe(true);
+    expect(member.watcher.applyRelayed(relay.watcher.recentChanges()!)).toBe(true);
     expect(member.objects).toEqual(relay.objects);
     expect([...member.objects]).toEqual([[B.key, B.value]]);
     await settle(1_000);
@@ -130,16 +130,16 @@
   test("are refused if earlier ones are missing", async () => {
     const member = await watch([A]);
     const batch: ChangeBatch = { after: 11, version: 12, events: [B] };
-    expect(member.watcher.take(batch)).toBe(false);
+    expect(member.watcher.applyRelayed(batch)).toBe(false);
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
 
   test("do not restore an object that was removed since", async () => {
     const member = await watch([A]);
     const removed = { key: B.key, version: B.version };
-    member.watcher.take({ after: 10, version: 12, events: [B] });
-    member.watcher.take({ after: 10, version: 14, events: [B, removed] });
-    member.watcher.take({ after: 10, version: 16, events: [B] });
+    member.watcher.applyRelayed({ after: 10, version: 12, events: [B] });
+    member.watcher.applyRelayed({ after: 10, version: 14, events: [B, removed] });
+    member.watcher.applyRelayed({ after: 10, version: 16, events: [B] });
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
 
@@ -202,8 +202,8 @@
     const member = await watched();
     member.watcher.suspend();
     await relist(relay, [{ ...A, version: secondEra(5) }]);
-    const batch = relay.watcher.recent();
-    expect(batch !== undefined && member.watcher.take(batch)).toBe(true);
+    const batch = relay.watcher.recentChanges();
+    expect(batch !== undefined && member.watcher.applyRelayed(batch)).toBe(true);
     expect([...member.objects]).toEqual([["servers/a", "a5"]]);
   });
 
@@ -211,7 +211,7 @@
     const relay = await watched();
     const member = await watched();
     await relist(member, [{ ...A, version: secondEra(5) }]);
-    const batch = relay.watcher.recent();
-    expect(batch !== undefined && member.watcher.take(batch)).toBe(false);
+    const batch = relay.watcher.recentChanges();
+    expect(batch !== undefined && member.watcher.applyRelayed(batch)).toBe(false);
   });
 });
--- a/packages/rampswitch-utils/src/abort_response.ts
+++ b/packages/rampswitch-utils/src/abort_response.ts
@@ -11,7 +11,7 @@
  * Closes the connection of a response, so that the caller does not take it for
  * complete. Data written before is sent as far as the socket accepts it at once.
  */
-export function breakOff(response: ServerResponse): void {
+export function abortResponse(response: ServerResponse): void {
   // Node corks the writes of one event loop turn, and destroy() would drop them:
   // the caller would never get events that are ready, however often it retries.
   response.socket?.uncork();
--- a/packages/rampswitch-utils/src/abort_response_test.ts
+++ b/packages/rampswitch-utils/src/abort_response_test.ts
@@ -7,7 +7,7 @@
 
 import { createServer, get } from "node:http";
 import { describe, expect, test } from "@jest/globals";
-import { breakOff } from "./abort_response.ts";
+import { abortResponse } from "./abort_response.ts";
 import { listen } from "./listen.ts";
 
 const EVENT = "id: 1\ndata: event 1\n\n";
@@ -19,7 +19,7 @@
   const server = createServer((_request, response) => {
     response.writeHead(200, { "content-type": "text/event-stream" });
     response.write(EVENT);
-    breakOff(response);
+    abortResponse(response);
   });
   await using listening = await listen(server, "127.0.0.1:0");
   return await new Promise((resolve) => {
--- a/packages/rampswitch-utils/src/clock.ts
+++ b/packages/rampswitch-utils/src/clock.ts
@@ -27,7 +27,7 @@
  * A monotonic clock: milliseconds since the start of the process. For durations,
  * which must not change when the time of day is set.
  */
-export const STEADY_CLOCK: Clock = {
+export const MONOTONIC_CLOCK: Clock = {
   now: () => performance.now(),
   after: (milliseconds, callback) => SYSTEM_CLOCK.after(milliseconds, callback),
 };
@@ -74,7 +74,7 @@
 /** A task that is repeated until it is disposed of. */
 export interface Repetition extends AsyncDisposable {
   /** Runs the task without further delay; if it is running, once more after it. */
-  hurry(): void;
+  runNow(): void;
 }
 
 /**
@@ -106,7 +106,7 @@
   };
   schedule();
   return {
-    hurry: () => {
+    runNow: () => {
       if (stopped) return;
       immediate = true;
       if (busy) return;
--- a/packages/rampswitch-utils/src/log.ts
+++ b/packages/rampswitch-utils/src/log.ts
@@ -98,7 +98,7 @@
 };
 
 /** Redirects `console.error`, which libraries use, to the logger. */
-export function adoptConsole(logger: Logger): void {
+export function redirectConsoleErrors(logger: Logger): void {
   console.error = (...parts: readonly unknown[]) => {
     logger.warn("message of a library", { text: parts.map(String).join(" ") });
   };
--- a/packages/rampswitch-utils/src/suspend_aware_clock.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock.ts
@@ -20,7 +20,7 @@
  * not. If the time of day was merely set forward, this clock jumps too: data whose
  * age it measures then expires too early, but never too late.
  */
-export class CautiousClock implements Clock {
+export class SuspendAwareClock implements Clock {
   readonly #monotonicClock: Clock;
   readonly #wallTime: () => number;
   #offset: number;
--- a/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
+++ b/packages/rampswitch-utils/src/suspend_aware_clock_test.ts
@@ -2,18 +2,18 @@
 
 import { describe, expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { CautiousClock } from "./suspend_aware_clock.ts";
+import { SuspendAwareClock } from "./suspend_aware_clock.ts";
 import { ManualClock } from "./clock.ts";
 
 function createClocks(): {
   readonly steady: ManualClock;
   readonly wall: { ahead: number };
-  readonly cautious: CautiousClock;
+  readonly cautious: SuspendAwareClock;
 } {
   const steady = new ManualClock(1_000);
   const wall = { ahead: 1_700_000_000_000 };
   const wallTime = () => wall.ahead + steady.now();
-  return { steady, wall, cautious: new CautiousClock(steady, wallTime) };
+  return { steady, wall, cautious: new SuspendAwareClock(steady, wallTime) };
 }
 
 describe("a suspend-aware clock", () => {
