--- a/packages/rampswitch-serving/src/rollout/rollout_test.ts
+++ b/packages/rampswitch-serving/src/rollout/rollout_test.ts
@@ -158,7 +158,7 @@
     expect(evaluated.phase).toBe("rolled_back");
     expect(evaluated.arms({ isFirst: true, now: 1 })).toEqual({
       first: "baseline",
-      otherwise: undefined,
+      fallback: undefined,
     });
     const informed = rolloutOf({ fault: undefined, allows: true });
     informed.receive(updateOf({ phase: "rolled_back" }), INCARNATION);
@@ -170,7 +170,7 @@
     expect(rollout.arms({ isFirst: true, now: 0 }).first).toBe("target");
     expect(rollout.arms({ isFirst: false, now: 0 })).toEqual({
       first: "baseline",
-      otherwise: undefined,
+      fallback: undefined,
     });
   });
 
