--- a/packages/rampswitch-entry/src/replication/message_queue.ts
+++ b/packages/rampswitch-entry/src/replication/message_queue.ts
@@ -1,24 +1,24 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * A queue of messages that a stream reads as they come.
+ * A queue that turns pushed messages into an asynchronous stream.
  *
  * @module
  */
 
-/** Messages to be read once, in order, until the queue is closed. */
+/** An unbounded queue. One reader takes each message once, in order. */
 export class MessageQueue<Message> implements AsyncIterable<Message> {
   readonly #messages: Message[] = [];
   #wake: (() => void) | undefined;
   #closed = false;
 
-  /** Adds a message. */
+  /** Adds a message and wakes the reader. */
   push(message: Message): void {
     this.#messages.push(message);
     this.#wake?.();
   }
 
-  /** Ends the stream after the messages that wait. */
+  /** Ends the stream once the messages that are already queued are read. */
   close(): void {
     this.#closed = true;
     this.#wake?.();
--- a/packages/rampswitch-entry/src/replication/mod.ts
+++ b/packages/rampswitch-entry/src/replication/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Slots of requests and the copies of their progress at other hosts.
+ * Request slots, and the replication of request progress to other hosts.
  *
  * @module
  */
