--- a/packages/rampswitch-entry/src/replication/peer_handlers.ts
+++ b/packages/rampswitch-entry/src/replication/peer_handlers.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What this host answers to its peers.
+ * Handlers for calls from peers, and the calls that exchange configuration
+ * and leaving marks with them.
  *
  * @module
  */
@@ -34,9 +35,9 @@
 import type { RequestReplication } from "./request_replication.ts";
 import type { SlotService } from "./slot_service.ts";
 
-const CALL_MILLISECONDS = 1_000;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Parts of the process that peers talk to. */
+/** Parts of the process that the peer handlers use. */
 export interface PeerParts {
   readonly self: HostId;
   readonly configuration: ConfigurationService;
@@ -47,7 +48,7 @@
   readonly metrics: Metrics;
 }
 
-/** Builds the handlers. */
+/** Builds the handlers for calls from peers. */
 export function peerHandlers(parts: PeerParts): PeerHandlers {
   const { configuration, membership } = parts;
   return {
@@ -55,7 +56,7 @@
     replicate: async function* (requests) {
       for await (const request of requests) {
         yield create(ReplicateResponseSchema, {
-          answers: takeEntries(request, parts),
+          answers: applyEntries(request, parts),
           sequence: request.sequence,
         });
       }
@@ -86,8 +87,8 @@
   };
 }
 
-/** Takes in entries in order; returns the answers to their sender. */
-function takeEntries(
+/** Applies entries in order; returns the answers for their sender. */
+function applyEntries(
   request: ReplicateRequest,
   { replication, slots }: Pick<PeerParts, "replication" | "slots">,
 ): WireSlotMessage[] {
@@ -103,7 +104,10 @@
   });
 }
 
-/** Reads what is missing here from a peer. */
+/**
+ * Fetches the configuration revisions that this host lacks from a peer. Does
+ * nothing if the call fails.
+ */
 export async function catchUp(
   parts: Pick<PeerParts, "clients" | "configuration">,
   address: string,
@@ -113,7 +117,7 @@
   const answer = await clients.call(address, (client) =>
     client.fetchConfiguration(
       { afterRevision },
-      { timeoutMs: CALL_MILLISECONDS },
+      { timeoutMs: CALL_TIMEOUT_MILLISECONDS },
     ),
   );
   if (answer.isErr) return;
@@ -125,27 +129,30 @@
   });
 }
 
-/** Tells some peers news at once; each tells it on when it is news there. */
+/**
+ * Sends configuration deltas and leaving marks at once to the announce targets
+ * among the peers. Each target passes on what is new to it.
+ */
 export async function announce(
   parts: Pick<PeerParts, "self" | "clients" | "membership" | "metrics">,
-  news: {
+  update: {
     readonly configuration: PeerConfiguration;
     readonly leaving: readonly LeavingMark[];
   },
 ): Promise<void> {
   const { clients, membership, metrics, self } = parts;
-  const { revision, deltas, confirmedAge } = news.configuration;
+  const { revision, deltas, confirmedAge } = update.configuration;
   const request: AnnounceRequest = create(AnnounceRequestSchema, {
     sender: self,
     revision: BigInt(revision),
     deltas: deltas.map((delta) => JSON.stringify(delta)),
     confirmedAge: BigInt(Math.round(confirmedAge)),
-    leaving: news.leaving.map(markToWire),
+    leaving: update.leaving.map(markToWire),
   });
   await Promise.all(
     membership.announceTargets().map(async ({ digest }) => {
       const answer = await clients.call(digest.host.peerAddress, (client) =>
-        client.announce(request, { timeoutMs: CALL_MILLISECONDS }),
+        client.announce(request, { timeoutMs: CALL_TIMEOUT_MILLISECONDS }),
       );
       metrics.count("announce", answer.isOk ? "answered" : "failed");
     }),
--- a/packages/rampswitch-entry/src/replication/peer_messages.ts
+++ b/packages/rampswitch-entry/src/replication/peer_messages.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Conversion between the types of the decisions and the messages on the wire.
+ * Conversion between the types of the protocol and the messages on the wire.
  *
  * @module
  */
@@ -74,11 +74,14 @@
   promote: () => ({ case: "promote", value: {} }),
 };
 
-/** Converts a slot message from the wire; `undefined` for an empty one. */
+/**
+ * Converts a slot message from the wire; `undefined` if it has no known body or
+ * is a claim without a record.
+ */
 export function slotMessageFromWire(
   wire: WireSlotMessage,
 ): SlotMessage | undefined {
-  const head = { slot: wire.slot, epoch: Number(wire.epoch) };
+  const header = { slot: wire.slot, epoch: Number(wire.epoch) };
   const { body } = wire;
   switch (body.case) {
     case "claim":
@@ -86,33 +89,33 @@
         ? undefined
         : {
             kind: "claim",
-            ...head,
+            ...header,
             record: recordFromWire(body.value.record),
           };
     case "claimAnswer":
       return {
         kind: "claim_answer",
-        ...head,
+        ...header,
         key: body.value.key,
         answer: body.value.answer as ClaimAnswer,
       };
     case "status":
       return {
         kind: "status",
-        ...head,
+        ...header,
         key: body.value.key,
         status: body.value.status as KeyStatus,
       };
     case "learn":
       return {
         kind: "learn",
-        ...head,
+        ...header,
         records: body.value.records.map(recordFromWire),
       };
     case "learned":
-      return { kind: "learned", ...head };
+      return { kind: "learned", ...header };
     case "promote":
-      return { kind: "promote", ...head };
+      return { kind: "promote", ...header };
     default:
       return undefined;
   }
@@ -138,7 +141,7 @@
   };
 }
 
-/** Converts a digest for the wire. */
+/** Converts a host digest for the wire. */
 export function digestToWire(digest: HostDigest): WireDigest {
   return create(HostDigestSchema, {
     host: { ...digest.host, startedAt: BigInt(digest.host.startedAt) },
@@ -151,7 +154,7 @@
   });
 }
 
-/** Converts digests from the wire; those without a host are left out. */
+/** Converts host digests from the wire; those without a host are left out. */
 export function digestsFromWire(
   wires: readonly (WireDigest | undefined)[],
 ): readonly HostDigest[] {
@@ -180,7 +183,7 @@
   });
 }
 
-/** Converts a leaving mark for the wire. */
+/** Converts a leaving mark for the wire; 0 stands for no deadline. */
 export function markToWire(mark: LeavingMark): WireMark {
   return create(LeavingMarkSchema, {
     host: mark.host,
@@ -190,7 +193,7 @@
   });
 }
 
-/** Converts leaving marks from the wire; unknown sources are left out. */
+/** Converts leaving marks from the wire; those of unknown source are left out. */
 export function marksFromWire(
   wires: readonly WireMark[],
 ): readonly LeavingMark[] {
