--- a/packages/rampswitch-entry/src/replication/primary_forwarding.ts
+++ b/packages/rampswitch-entry/src/replication/primary_forwarding.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Running a request at the primary of its slot: here, or by passing it on to
- * the host that is.
+ * Runs a request at the primary of its slot: locally if this host is the
+ * primary, or else by forwarding the request to the primary.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { passAnswer, passedHeaders } from "../attempt/http_forward.ts";
 import type { SlotService } from "./slot_service.ts";
 
-/** How hops are made. */
+/** Options of {@link PrimaryForwarding}. */
 export interface PrimaryForwardingOptions {
   readonly self: HostId;
   readonly slots: SlotService;
@@ -22,25 +22,28 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly callerAddressOf: (host: HostId) => string | undefined;
-  /** Longest time that a passed request may take without a byte. */
+  /**
+   * Maximum time that a forwarded request may take without a byte, in
+   * milliseconds. A longer deadline of the caller replaces it.
+   */
   readonly idleMilliseconds: number;
 }
 
-/** Something to run at a slot's primary. */
-export interface AtPrimary {
+/** Work to run at the primary of a slot. */
+export interface PrimaryWork {
   readonly slot: number;
-  /** The body that was read already; absent where there is none. */
+  /** The request body, already read; `undefined` if there is none. */
   readonly body: Buffer | undefined;
-  /** Runs it here. */
+  /** Runs the work at this host. */
   readonly here: () => Promise<void>;
 }
 
 const MAXIMUM_HOPS = 2;
-const ATTEMPTS = 20;
-const WAIT_MILLISECONDS = 200;
+const MAXIMUM_ATTEMPTS = 20;
+const RETRY_INTERVAL_MILLISECONDS = 200;
 const RETRY_AFTER = { retryAfterMilliseconds: 500 };
 
-/** Passes requests to the primaries of their slots. */
+/** Forwards requests to the primaries of their slots. */
 export class PrimaryForwarding {
   readonly #options: PrimaryForwardingOptions;
 
@@ -48,19 +51,23 @@
     this.#options = options;
   }
 
-  /** Runs a request at its slot's primary; waits while the slot moves. */
-  async run(exchange: Exchange, work: AtPrimary): Promise<void> {
+  /**
+   * Runs a request at the primary of its slot. Retries while the slot has no
+   * primary or the primary cannot be reached, for example during a handover;
+   * refuses the request with `slot_unavailable` after the last attempt.
+   */
+  async run(exchange: Exchange, work: PrimaryWork): Promise<void> {
     const { slots, self, clock, metrics } = this.#options;
-    for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
       const primary = slots.primaryOf(work.slot);
       if (primary === self) {
         await work.here();
         return;
       }
       if (exchange.response.destroyed) return;
-      if (await this.#pass(exchange, primary, work.body)) return;
+      if (await this.#forward(exchange, primary, work.body)) return;
       metrics.count("forward", "waiting");
-      await sleep(clock, WAIT_MILLISECONDS);
+      await sleep(clock, RETRY_INTERVAL_MILLISECONDS);
     }
     const detail = `slot ${work.slot}: its primary cannot be reached`;
     refuseUnjudged(
@@ -70,8 +77,11 @@
     );
   }
 
-  /** Passes a request on; false where it surely was not taken. */
-  async #pass(
+  /**
+   * Forwards a request to the primary. Returns false only if it is certain that
+   * the request did not run there, so that it can be sent again.
+   */
+  async #forward(
     exchange: Exchange,
     primary: HostId | undefined,
     body: Buffer | undefined,
--- a/packages/rampswitch-entry/src/replication/replica_link.ts
+++ b/packages/rampswitch-entry/src/replication/replica_link.ts
@@ -1,10 +1,10 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Links to the peers that hold replicas: one stream to each, over which entries
- * travel in order. Entries that nobody waits for travel with the next urgent
- * one, or after a few milliseconds. After a failure, entries without an answer
- * are sent again; every entry can be taken in twice.
+ * Links to the peers that hold replicas. Each link sends its entries in order
+ * over one stream. Entries that are not urgent are sent with the next urgent
+ * one, or after a few milliseconds. After a failure, unanswered entries are sent
+ * again, so a peer must be able to apply every entry twice.
  *
  * @module
  */
@@ -21,27 +21,30 @@
 } from "rampswitch-peer";
 import { MessageQueue } from "./message_queue.ts";
 
-const ANSWER_MILLISECONDS = 1_000;
-const RETRY_MILLISECONDS = 100;
-const PATIENT_MILLISECONDS = 10;
-/** One message of so many is encoded once more to count its bytes. */
-const BYTES_SAMPLE = 8;
-const MAXIMUM_ENTRIES = 512;
-const MAXIMUM_WAITING = 20_000;
-/** Messages without an answer; more entries wait and travel together. */
-const WINDOW = 2;
-
-/** What links tell their owner. */
+const ANSWER_TIMEOUT_MILLISECONDS = 1_000;
+const RETRY_DELAY_MILLISECONDS = 100;
+const BATCH_DELAY_MILLISECONDS = 10;
+/** One in this many messages is encoded a second time to count its bytes. */
+const BYTES_SAMPLING_INTERVAL = 8;
+const MAXIMUM_ENTRIES_PER_MESSAGE = 512;
+const MAXIMUM_WAITING_ENTRIES = 20_000;
+/**
+ * Number of messages that may be unanswered at once. Further entries wait, and
+ * are sent together in one message.
+ */
+const MAXIMUM_UNANSWERED_MESSAGES = 2;
+
+/** Callbacks from the links to their owner. */
 export interface LinkListener {
-  /** A peer answered to entries. */
+  /** A peer answered a message of entries. */
   answered(from: HostId, answers: readonly WireSlotMessage[]): void;
-  /** A peer did not answer. */
+  /** The stream to a peer failed or was aborted for lack of answers. */
   failed(to: HostId): void;
-  /** Address of a peer; `undefined` once it is no member. */
+  /** Address of a peer; `undefined` once it is no longer a member. */
   addressOf(host: HostId): string | undefined;
 }
 
-/** How links are made. */
+/** Options of {@link ReplicaLinks}. */
 export interface LinkOptions {
   readonly self: HostId;
   readonly clients: PeerClients;
@@ -50,30 +53,33 @@
   readonly listener: LinkListener;
 }
 
-/** How an entry travels. */
+/** How an entry is sent. */
 export interface PushOptions {
-  /** Whether somebody waits for it. */
+  /** Whether to send the entry at once instead of batching it. */
   readonly urgent: boolean;
-  /** Runs once the peer has taken it in, or will never do so. */
+  /**
+   * Called once the peer has applied the entry. Also called if the entry is
+   * dropped because the link is full or closed, so that its waiter resumes.
+   */
   readonly delivered?: (() => void) | undefined;
 }
 
-interface Waiting {
+interface WaitingEntry {
   readonly entry: ReplicaEntry;
   readonly delivered: (() => void) | undefined;
 }
 
-interface Sent {
+interface SentMessage {
   readonly sequence: number;
-  readonly waiting: readonly Waiting[];
+  readonly waiting: readonly WaitingEntry[];
 }
 
 /** The link to one peer. */
 class Link {
   readonly #to: HostId;
   readonly #options: LinkOptions;
-  #waiting: Waiting[] = [];
-  #sent: readonly Sent[] = [];
+  #waiting: WaitingEntry[] = [];
+  #sent: readonly SentMessage[] = [];
   #sequence = 0;
   #stream: MessageQueue<ReplicateRequest> | undefined;
   #abort = new AbortController();
@@ -87,7 +93,7 @@
   }
 
   push(entry: ReplicaEntry, { urgent, delivered }: PushOptions): void {
-    if (this.#closed || this.#waiting.length >= MAXIMUM_WAITING) {
+    if (this.#closed || this.#waiting.length >= MAXIMUM_WAITING_ENTRIES) {
       this.#options.metrics.count("link_overflow");
       delivered?.();
       return;
@@ -96,25 +102,25 @@
     if (urgent) this.#flushSoon();
     else {
       this.#cancelFlush ??= this.#options.clock.after(
-        PATIENT_MILLISECONDS,
+        BATCH_DELAY_MILLISECONDS,
         () => this.#flush(),
       );
     }
   }
 
-  /** Ends the link; whoever waits for an entry waits no longer. */
+  /** Closes the link and calls `delivered` for all entries that remain. */
   close(): void {
     this.#closed = true;
     this.#cancelFlush?.();
     this.#abort.abort();
     this.#stream?.close();
-    const left = [...this.#sent.flatMap(({ waiting }) => waiting)];
-    [...left, ...this.#waiting].forEach(({ delivered }) => delivered?.());
+    const unanswered = [...this.#sent.flatMap(({ waiting }) => waiting)];
+    [...unanswered, ...this.#waiting].forEach(({ delivered }) => delivered?.());
     this.#sent = [];
     this.#waiting = [];
   }
 
-  /** Sends at the end of this turn of the loop, so that more can join. */
+  /** Flushes in a microtask, so that entries pushed until then are included. */
   #flushSoon(): void {
     if (this.#flushing) return;
     this.#flushing = true;
@@ -133,16 +139,19 @@
       void this.#run(this.#stream);
       this.#sent.forEach((sent) => this.#send(sent));
     }
-    while (this.#waiting.length > 0 && this.#sent.length < WINDOW) {
+    while (
+      this.#waiting.length > 0 &&
+      this.#sent.length < MAXIMUM_UNANSWERED_MESSAGES
+    ) {
       this.#sequence += 1;
-      const waiting = this.#waiting.splice(0, MAXIMUM_ENTRIES);
+      const waiting = this.#waiting.splice(0, MAXIMUM_ENTRIES_PER_MESSAGE);
       const sent = { sequence: this.#sequence, waiting };
       this.#sent = [...this.#sent, sent];
       this.#send(sent);
     }
   }
 
-  #send({ sequence, waiting }: Sent): void {
+  #send({ sequence, waiting }: SentMessage): void {
     const { self, metrics } = this.#options;
     const request = create(ReplicateRequestSchema, {
       sender: self,
@@ -150,14 +159,21 @@
       entries: waiting.map(({ entry }) => entry),
     });
     metrics.count("replicate_call");
-    if (sequence % BYTES_SAMPLE === 0) {
+    if (sequence % BYTES_SAMPLING_INTERVAL === 0) {
       const bytes = toBinary(ReplicateRequestSchema, request).length;
-      metrics.count("replicate_bytes", undefined, bytes * BYTES_SAMPLE);
+      metrics.count(
+        "replicate_bytes",
+        undefined,
+        bytes * BYTES_SAMPLING_INTERVAL,
+      );
     }
     this.#stream?.push(request);
   }
 
-  /** Keeps one stream until it breaks, then prepares the next. */
+  /**
+   * Runs one stream until it fails. After a delay, opens the next one if entries
+   * remain to be sent.
+   */
   async #run(stream: MessageQueue<ReplicateRequest>): Promise<void> {
     const { listener, clients, metrics, clock } = this.#options;
     const abort = new AbortController();
@@ -169,26 +185,30 @@
     }
     const { signal } = abort;
     await clients.call(address, async (client) => {
-      const watch = this.#watch(abort);
+      const stopCheck = this.#abortWhenStalled(abort);
       try {
         for await (const answer of client.replicate(stream, { signal })) {
-          this.#answered(answer);
+          this.#handleAnswer(answer);
         }
       } finally {
-        watch();
+        stopCheck();
       }
     });
     stream.close();
     if (this.#closed) return;
     metrics.count("replicate_failed");
     listener.failed(this.#to);
-    await sleep(clock, RETRY_MILLISECONDS);
+    await sleep(clock, RETRY_DELAY_MILLISECONDS);
     this.#stream = undefined;
     if (this.#sent.length > 0 || this.#waiting.length > 0) this.#flush();
   }
 
-  /** Breaks a stream off that has not answered for too long. */
-  #watch(abort: AbortController): () => void {
+  /**
+   * Aborts a stream whose oldest unanswered message is the same at two checks in
+   * succession, {@link ANSWER_TIMEOUT_MILLISECONDS} apart. Returns a function
+   * that stops the checks.
+   */
+  #abortWhenStalled(abort: AbortController): () => void {
     const { clock } = this.#options;
     let oldest: number | undefined;
     let cancel: () => void = () => undefined;
@@ -196,13 +216,13 @@
       const first = this.#sent[0]?.sequence;
       if (first !== undefined && first === oldest) abort.abort();
       oldest = first;
-      cancel = clock.after(ANSWER_MILLISECONDS, check);
+      cancel = clock.after(ANSWER_TIMEOUT_MILLISECONDS, check);
     };
     check();
     return () => cancel();
   }
 
-  #answered({ sequence, answers }: ReplicateResponse): void {
+  #handleAnswer({ sequence, answers }: ReplicateResponse): void {
     const done = this.#sent.filter((sent) => sent.sequence <= Number(sequence));
     this.#sent = this.#sent.filter((sent) => !done.includes(sent));
     done
@@ -213,7 +233,7 @@
   }
 }
 
-/** Links to all peers. */
+/** The links to all peers, opened on first use. */
 export class ReplicaLinks implements AsyncDisposable {
   readonly #links = new Map<HostId, Link>();
   readonly #options: LinkOptions;
@@ -222,7 +242,7 @@
     this.#options = options;
   }
 
-  /** Sends an entry to a peer. */
+  /** Queues an entry for a peer. */
   push(to: HostId, entry: ReplicaEntry, options: PushOptions): void {
     const known = this.#links.get(to);
     const link = known ?? new Link(to, this.#options);
@@ -230,7 +250,7 @@
     link.push(entry, options);
   }
 
-  /** Forgets a peer that is gone. */
+  /** Closes and removes the link to a peer that is gone. */
   forget(host: HostId): void {
     this.#links.get(host)?.close();
     this.#links.delete(host);
