--- a/packages/rampswitch-entry/src/replication/request_recovery.ts
+++ b/packages/rampswitch-entry/src/replication/request_recovery.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * What the primary of a slot does with requests that a lost host was running.
+ * Recovery of the requests that a lost host was running, by the primaries of
+ * their slots.
  *
  * @module
  */
@@ -13,8 +14,8 @@
 import type { ChatRunner } from "../attempt/chat_runner.ts";
 import type { SlotService } from "./slot_service.ts";
 
-/** How adoption is made. */
-export interface AdoptionOptions {
+/** Options of {@link recoverRequests}. */
+export interface RecoveryOptions {
   readonly self: HostId;
   readonly book: Pick<AnswerCache, "all" | "discard">;
   readonly slots: Pick<SlotService, "primarySlots" | "recordOf" | "finish">;
@@ -25,13 +26,13 @@
 }
 
 /**
- * What becomes of a lost request. `go_on`: it may run twice, so it goes on here.
- * `run_anew`: nothing of it is kept; a retry runs it. `in_doubt`: it must not
- * run twice.
+ * What happens to a lost request. `go_on`: it may run twice, so this host
+ * continues it. `run_anew`: its answer is discarded, and a retry by the caller
+ * runs it again. `in_doubt`: it must not run twice, so it ends as in doubt.
  */
 export type LostRequestFate = "go_on" | "run_anew" | "in_doubt";
 
-/** Decides what becomes of a request whose host is lost. */
+/** Decides what happens to a request whose host is lost. */
 export function lostRequestFate(
   service: Service | undefined,
   options: { readonly guarded: boolean },
@@ -41,42 +42,45 @@
 }
 
 /**
- * Takes over all requests of this host's slots whose runner is lost, and sends
- * readers of others away.
+ * Recovers the requests whose runner is lost in the slots that this host is
+ * primary of. For lost requests of other slots, disconnects the readers, so that
+ * they can be sent to the primary.
  */
-export function recoverRequests(options: AdoptionOptions): void {
+export function recoverRequests(options: RecoveryOptions): void {
   const { book, slots, self, trusts } = options;
   const own = new Set(slots.primarySlots);
   const lost = book.all
     .filter(({ outcome, runner }) => outcome === undefined && runner !== self)
     .filter(({ runner }) => !trusts(runner));
   const isOwn = ({ envelope }: Answer) => own.has(envelope.slot);
-  lost.filter(isOwn).forEach((answer) => adopt(answer, options));
-  // Only the slot's primary settles a lost request, and it tells no backup: a
-  // reader would wait here for an end that never comes.
+  lost.filter(isOwn).forEach((answer) => recoverRequest(answer, options));
+  // Only the primary of the slot recovers a lost request, and it does not report
+  // the result to backups. A reader at this host would wait forever.
   lost
     .filter((answer) => !isOwn(answer))
     .forEach((answer) => answer.sendReadersAway());
 }
 
-function adopt(answer: Answer, options: AdoptionOptions): void {
+function recoverRequest(answer: Answer, options: RecoveryOptions): void {
   const { envelope } = answer;
   const service = options.routing().services.get(envelope.service);
   const record = options.slots.recordOf(envelope.slot, envelope.key);
   const guarded = record?.guarded ?? GUARDED_WITHOUT_RECORD;
   const fate = lostRequestFate(service, { guarded });
   options.metrics.count("lostRequest", fate);
-  FATES[fate](answer, options);
+  FATE_HANDLERS[fate](answer, options);
 }
 
 /**
- * Only keys are recorded. What has no record was sent all the same: discarded,
- * it would be unknown to its caller, who may ask anew beside the lost run.
+ * Whether a request without a key record counts as guarded. Only keys have
+ * records, and a request without one was sent to a server too. If its answer
+ * were discarded, the caller would find it unknown and could send it again while
+ * the lost run is still in progress.
  */
 const GUARDED_WITHOUT_RECORD = true;
 
-const FATES: Readonly<
-  Record<LostRequestFate, (answer: Answer, options: AdoptionOptions) => void>
+const FATE_HANDLERS: Readonly<
+  Record<LostRequestFate, (answer: Answer, options: RecoveryOptions) => void>
 > = {
   go_on: (answer, { self, chat }) => {
     answer.runner = self;
@@ -85,14 +89,17 @@
   run_anew: (answer, { book, slots }) => {
     const { slot, key } = answer.envelope;
     slots.finish(slot, key, "withdrawn");
-    answer.end(LOST);
+    answer.end(LOST_OUTCOME);
     book.discard(answer);
   },
   in_doubt: (answer, { slots }) => {
     const { slot, key } = answer.envelope;
     slots.finish(slot, key, "in_doubt");
-    answer.end(LOST);
+    answer.end(LOST_OUTCOME);
   },
 };
 
-const LOST = inDoubt("taken_over", "the host that ran the request was lost");
+const LOST_OUTCOME = inDoubt(
+  "taken_over",
+  "the host that ran the request was lost",
+);
--- a/packages/rampswitch-entry/src/replication/request_recovery_test.ts
+++ b/packages/rampswitch-entry/src/replication/request_recovery_test.ts
@@ -1,11 +1,12 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
-// A caller read the rest of a stream at a host that held it as a backup. The host
-// that ran the stream was lost, and the slot's primary, a third host, settled it.
-// Nobody told the backup: it followed the lost host's stream for as long as the
-// caller stayed. Two of eight plays on a busy machine waited 30 s twice, with
-// lostRequest.in_doubt 1 at the primary and answer_again 2 at the host that was
-// asked. Its readers are sent away now, and passed on to the primary next time.
+// Guards against a reader that waits forever at a backup. A caller resumes a
+// stream at a backup of its slot. The host that runs the stream is lost, and the
+// primary of the slot, a third host, ends the request without a report to the
+// backup. The backup must disconnect its readers; a reader that comes back is
+// forwarded to the primary. With the fault, 2 of 8 runs on a busy machine waited
+// 30 s twice, with lostRequest.in_doubt 1 at the primary and answer_again 2 at the
+// backup.
 
 import { describe, expect, test } from "@jest/globals";
 import { createMetrics, ManualClock } from "rampswitch-utils";
@@ -14,7 +15,7 @@
   type AnswerReader,
   type RequestEnvelope,
 } from "../outcome/answer_cache.ts";
-import { type AdoptionOptions, recoverRequests } from "./request_recovery.ts";
+import { type RecoveryOptions, recoverRequests } from "./request_recovery.ts";
 
 const ENVELOPE: RequestEnvelope = {
   id: "r1.a",
@@ -28,7 +29,7 @@
   fingerprint: "f",
 };
 
-function readByBackup(options: {
+function readAtBackup(options: {
   readonly trusted: boolean;
 }): readonly string[] {
   const metrics = createMetrics("test", undefined);
@@ -46,8 +47,8 @@
   };
   answer.append(0, ["x"]);
   answer.read(-1, reader);
-  const adoption: Pick<
-    AdoptionOptions,
+  const recovery: Pick<
+    RecoveryOptions,
     "self" | "book" | "slots" | "metrics" | "trusts"
   > = {
     self: "backup",
@@ -60,17 +61,17 @@
     metrics,
     trusts: () => options.trusted,
   };
-  recoverRequests(adoption as AdoptionOptions);
+  recoverRequests(recovery as RecoveryOptions);
   answer.append(1, ["y"]);
   return seen;
 }
 
-describe("an answer that a lost host ran, at a host that is not primary", () => {
-  test("sends its readers away", () => {
-    expect(readByBackup({ trusted: false })).toEqual(["event 0", "lost"]);
+describe("an answer run by another host, at a host that is not the primary", () => {
+  test("disconnects its readers when the running host is lost", () => {
+    expect(readAtBackup({ trusted: false })).toEqual(["event 0", "lost"]);
   });
 
-  test("keeps its readers while its host is trusted", () => {
-    expect(readByBackup({ trusted: true })).toEqual(["event 0", "event 1"]);
+  test("keeps its readers while the running host is trusted", () => {
+    expect(readAtBackup({ trusted: true })).toEqual(["event 0", "event 1"]);
   });
 });
