--- a/packages/rampswitch-entry/src/replication/request_replication.ts
+++ b/packages/rampswitch-entry/src/replication/request_replication.ts
@@ -1,11 +1,12 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Keeping the progress of requests at the other holders of their slots, so
- * that one of them can go on. Three ways, compared in docs/design/survival.md:
- * `each` lets the caller see an event only once a holder has it; `batch` sends
- * events together every few milliseconds; `none` sends no events, only the
- * attempt, so that the engine has to repeat them.
+ * Replicates the progress of requests to the other holders of their slots, so
+ * that one of them can continue a request. There are three modes, compared in
+ * docs/design/survival.md: `each` shows an event to the caller only after every
+ * holder has answered for it or its link has dropped it; `batch` sends events
+ * together every few milliseconds; `none` sends no events, only the attempt, so
+ * that the engine has to repeat them.
  *
  * @module
  */
@@ -27,12 +28,12 @@
 } from "../outcome/answer_cache.ts";
 import type { ReplicaLinks } from "./replica_link.ts";
 
-/** Ways of holding a stream's progress. */
+/** Modes of replicating the events of a stream. */
 export type ProgressMode = "each" | "batch" | "none";
 
-const BATCH_MILLISECONDS = 25;
+const BATCH_INTERVAL_MILLISECONDS = 25;
 
-/** How replication is made. */
+/** Options of {@link RequestReplication}. */
 export interface ReplicationOptions {
   readonly self: HostId;
   readonly mode: ProgressMode;
@@ -44,24 +45,24 @@
   readonly epochOf: (slot: number) => number;
 }
 
-/** Sends progress to the holders and takes in theirs. */
+/** Sends progress to the holders of a slot and applies progress from peers. */
 export class RequestReplication {
   readonly #options: ReplicationOptions;
   readonly #sentEvents = new Map<string, number>();
-  readonly #due = new Set<Answer>();
+  readonly #answersWithUnsentEvents = new Set<Answer>();
   #cancel: (() => void) | undefined;
 
   constructor(options: ReplicationOptions) {
     this.#options = options;
   }
 
-  /** Tells the holders about a new request. */
+  /** Replicates a new request to the holders. */
   opened(answer: Answer): void {
     this.#toHolders(answer, openedEntry(answer.envelope, this.#options));
     this.#sentEvents.set(answer.envelope.id, 0);
   }
 
-  /** Tells the holders where an attempt runs. */
+  /** Replicates the server at which an attempt runs to the holders. */
   attempted(answer: Answer, attempt: RunningAttempt): void {
     answer.attempt = attempt;
     if (!this.#sentEvents.has(answer.envelope.id)) return;
@@ -76,43 +77,47 @@
     );
   }
 
-  /** Adds events to an answer, in the way that the mode asks for. */
+  /** Adds events to an answer and replicates them as the mode requires. */
   async progressed(
     answer: Answer,
     first: number,
     events: readonly string[],
   ): Promise<void> {
-    const kept = this.#sentEvents.has(answer.envelope.id);
-    if (kept && this.#options.mode === "each") {
-      await this.#heldByAll(answer, first, events);
+    const replicated = this.#sentEvents.has(answer.envelope.id);
+    if (replicated && this.#options.mode === "each") {
+      await this.#replicateToAll(answer, first, events);
     }
     answer.append(first, events);
-    if (!kept || this.#options.mode !== "batch") return;
-    this.#due.add(answer);
-    this.#cancel ??= this.#options.clock.after(BATCH_MILLISECONDS, () =>
-      this.flush(),
+    if (!replicated || this.#options.mode !== "batch") return;
+    this.#answersWithUnsentEvents.add(answer);
+    this.#cancel ??= this.#options.clock.after(
+      BATCH_INTERVAL_MILLISECONDS,
+      () => this.flush(),
     );
   }
 
-  /** Tells the holders how a request ended, after all of its events. */
+  /** Replicates the outcome of a request, after all of its events. */
   ended(answer: Answer, outcome: Outcome): void {
     if (!this.#sentEvents.has(answer.envelope.id)) return;
-    if (this.#options.mode !== "none") this.#sendDue(answer);
-    this.#due.delete(answer);
+    if (this.#options.mode !== "none") this.#sendUnsentEvents(answer);
+    this.#answersWithUnsentEvents.delete(answer);
     this.#sentEvents.delete(answer.envelope.id);
     this.#toHolders(answer, endedEntry(answer.envelope.id, outcome));
   }
 
-  /** Sends all events that are due now. */
+  /** Sends all events that wait for the next batch. */
   flush(): void {
     this.#cancel?.();
     this.#cancel = undefined;
-    const due = [...this.#due];
-    this.#due.clear();
-    due.forEach((answer) => this.#sendDue(answer));
+    const due = [...this.#answersWithUnsentEvents];
+    this.#answersWithUnsentEvents.clear();
+    due.forEach((answer) => this.#sendUnsentEvents(answer));
   }
 
-  /** Sends everything about the unfinished requests of a slot to a host. */
+  /**
+   * Sends the unfinished requests of a slot to a host: each request, its attempt
+   * and its events so far.
+   */
   teach(slot: number, host: HostId): void {
     this.#options.book.all
       .filter((answer) => answer.envelope.slot === slot)
@@ -134,7 +139,7 @@
       });
   }
 
-  /** Takes in an entry of a peer that runs the request. */
+  /** Applies an entry from the peer that runs the request. */
   receive(from: HostId, { entry }: ReplicaEntry): void {
     const { book } = this.#options;
     switch (entry.case) {
@@ -144,33 +149,38 @@
         return;
       }
       case "attempt": {
-        const answer = this.#ranBy(from, entry.value.id);
+        const answer = this.#answerRunBy(from, entry.value.id);
         const { attempt, server } = entry.value;
         if (answer !== undefined) answer.attempt = { attempt, server };
         return;
       }
       case "progress":
-        this.#ranBy(from, entry.value.id)?.append(
+        this.#answerRunBy(from, entry.value.id)?.append(
           entry.value.first,
           entry.value.events,
         );
         return;
       case "ended":
-        this.#ranBy(from, entry.value.id)?.end(outcomeFromWire(entry.value));
+        this.#answerRunBy(from, entry.value.id)?.end(
+          outcomeFromWire(entry.value),
+        );
         return;
       default:
     }
   }
 
-  /** An answer that a peer runs; entries of a former runner are dropped. */
-  #ranBy(from: HostId, id: string): Answer | undefined {
+  /**
+   * The answer with this id if the peer runs it. Entries from a former runner
+   * are counted and dropped.
+   */
+  #answerRunBy(from: HostId, id: string): Answer | undefined {
     const answer = this.#options.book.byId(id);
     if (answer === undefined || answer.runner === from) return answer;
     this.#options.metrics.count("drop", "former_attempt");
     return undefined;
   }
 
-  #heldByAll(
+  #replicateToAll(
     answer: Answer,
     first: number,
     events: readonly string[],
@@ -186,7 +196,7 @@
     ).then(() => undefined);
   }
 
-  #sendDue(answer: Answer): void {
+  #sendUnsentEvents(answer: Answer): void {
     const { id } = answer.envelope;
     const first = this.#sentEvents.get(id);
     if (first === undefined || first >= answer.events.length) return;
@@ -260,12 +270,15 @@
 }
 
 function endedEntry(id: string, outcome: Outcome): ReplicaEntry {
-  const told =
+  const reasonAndDetail =
     outcome.kind === "completed"
       ? { reason: "", detail: "" }
       : { reason: outcome.reason, detail: outcome.detail };
   return create(ReplicaEntrySchema, {
-    entry: { case: "ended", value: { id, outcome: outcome.kind, ...told } },
+    entry: {
+      case: "ended",
+      value: { id, outcome: outcome.kind, ...reasonAndDetail },
+    },
   });
 }
 
