--- a/packages/rampswitch-entry/src/replication/slot_service.ts
+++ b/packages/rampswitch-entry/src/replication/slot_service.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The slots of one entry host: runs the pure replicas, carries their messages
- * to peers and their proposals to the slot table.
+ * The slots of one entry host. Runs the slot replicas, which have no side
+ * effects, and carries out the effects that they return: messages to peers and
+ * proposals to the slot table.
  *
  * @module
  */
@@ -33,18 +34,18 @@
 import type { ReplicaLinks } from "./replica_link.ts";
 import { SlotTable } from "./slot_table.ts";
 
-/** How a claim ended. */
+/** How a claim of a key ended. Only `execute` permits the request to be sent. */
 export type ClaimEnd = "execute" | "in_doubt" | "withdrawn";
 
-/** What the service tells its owner. */
+/** Callbacks from the service to its owner. */
 export interface SlotListener {
   /** This host has become the primary of a slot. */
   takenOver(slot: number): void;
-  /** A host holds, or is to hold, the slot beside this one. */
+  /** A host is to hold the slot beside this host and needs its requests. */
   teaching(slot: number, host: HostId): void;
 }
 
-/** How the service is made. */
+/** Options of {@link SlotService}. */
 export interface SlotServiceOptions {
   readonly self: HostId;
   readonly slots: number;
@@ -52,7 +53,7 @@
   readonly store: ObjectStore;
   readonly links: ReplicaLinks;
   readonly clock: Clock;
-  /** A clock that never jumps. */
+  /** A monotonic clock. */
   readonly steadyClock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
@@ -62,18 +63,18 @@
   readonly watchPause: () => number;
 }
 
-/** Time that a slot may be closed while it is handed over. */
-const HAND_OVER_MILLISECONDS = 1_000;
+/** Maximum time that a slot is closed to new claims for a handover. */
+const HAND_OVER_TIMEOUT_MILLISECONDS = 1_000;
 
-const PRUNE_MILLISECONDS = 10_000;
+const PRUNE_INTERVAL_MILLISECONDS = 10_000;
 
-/** Time for which a slot serves after a handover that did not succeed. */
-const HAND_OVER_AGAIN_MILLISECONDS = 5_000;
+/** Time after a handover that timed out before the next one is tried. */
+const HAND_OVER_RETRY_DELAY_MILLISECONDS = 5_000;
 
-/** Steps that one round of maintenance takes at most. */
-const STEPS_PER_ROUND = 16;
+/** Maximum number of placement steps in one round of maintenance. */
+const MAXIMUM_STEPS_PER_ROUND = 16;
 
-/** All slots as one host sees them. */
+/** All slots, as known to one host. */
 export class SlotService implements AsyncDisposable {
   readonly #options: SlotServiceOptions;
   readonly #owned = new Ownership();
@@ -81,9 +82,9 @@
   readonly #table: SlotTable;
   readonly #claims = new Map<string, (end: ClaimEnd) => void>();
   readonly #primaries = new Set<number>();
-  readonly #closing = new Map<number, number>();
+  readonly #closingSince = new Map<number, number>();
   #prunedAt = 0;
-  readonly #servesUntil = new Map<number, number>();
+  readonly #handOverAllowedAt = new Map<number, number>();
 
   constructor(options: SlotServiceOptions) {
     this.#options = options;
@@ -99,15 +100,15 @@
           observed: (slot, entry) => {
             const replica = this.#replicas[slot];
             if (replica === undefined) return;
-            this.#run(replica, replica.observe(entry));
-            this.#note(replica);
+            this.#applyEffects(replica, replica.observe(entry));
+            this.#updatePrimaries(replica);
           },
         },
       }),
     );
   }
 
-  /** Whether the table is known: every slot has a primary. */
+  /** Whether the table has been read and has an entry for every slot. */
   get ready(): boolean {
     return (
       this.#table.listed &&
@@ -115,34 +116,34 @@
     );
   }
 
-  /** Slots that this host is primary of without a backup. */
+  /** Number of slots that this host is primary of and that have no backup. */
   get slotsWithoutBackup(): number {
     return [...this.#primaries].filter(
       (slot) => this.#replicas[slot]?.entry?.backup === undefined,
     ).length;
   }
 
-  /** Number of slots. */
+  /** Number of all slots. */
   get count(): number {
     return this.#replicas.length;
   }
 
-  /** Slots that this host is primary of. */
+  /** Slots that this host is primary of and is not handing over. */
   get primarySlots(): readonly number[] {
-    return [...this.#primaries].filter((slot) => !this.#closing.has(slot));
+    return [...this.#primaries].filter((slot) => !this.#closingSince.has(slot));
   }
 
-  /** Number of slots that this host is primary of, also while it hands over. */
+  /** Number of slots that this host is primary of, including handovers. */
   get heldSlots(): number {
     return this.#primaries.size;
   }
 
-  /** Keys remembered in all slots. */
+  /** Number of key records in all slots. */
   get keys(): number {
     return this.#replicas.reduce((sum, { size }) => sum + size, 0);
   }
 
-  /** Peers that hold a slot together with this host. */
+  /** Peers that are primary or backup of a slot that this host holds too. */
   get partners(): readonly HostId[] {
     const partners = this.#replicas.flatMap(({ entry, role }) =>
       entry === undefined || role === "none"
@@ -154,23 +155,24 @@
       .filter((host) => host !== this.#options.self);
   }
 
-  /** Starts to follow the table. */
+  /** Starts to watch the slot table. */
   start(): void {
     this.#table.start();
   }
 
   /**
-   * Primary of a slot, as far as known here; `undefined` while this host hands
-   * the slot over, so that no claim begins that the next primary would doubt.
+   * Primary of a slot, as far as this host knows. It is `undefined` while this
+   * host hands the slot over, so that no claim begins that the next primary would
+   * have to treat as in doubt.
    */
   primaryOf(slot: number): HostId | undefined {
     const primary = this.#replicas[slot]?.entry?.primary;
-    return primary === this.#options.self && this.#closing.has(slot)
+    return primary === this.#options.self && this.#closingSince.has(slot)
       ? undefined
       : primary;
   }
 
-  /** Peers that must hold what happens in a slot. */
+  /** Peers to which changes in a slot are replicated. */
   holdersOf(slot: number): readonly HostId[] {
     const replica = this.#replicas[slot];
     const entry = replica?.entry;
@@ -180,17 +182,17 @@
       .filter((host) => host !== this.#options.self);
   }
 
-  /** Epoch of a slot. */
+  /** Epoch of a slot; 0 if its entry is not known. */
   epochOf(slot: number): number {
     return this.#replicas[slot]?.entry?.epoch ?? 0;
   }
 
-  /** Record of a key in a slot. */
+  /** Record of a key in a slot, if there is one. */
   recordOf(slot: number, key: string): KeyRecord | undefined {
     return this.#replicas[slot]?.record(key);
   }
 
-  /** Judges a request for a key. */
+  /** Decides whether a request for a key may run here. */
   judge(slot: number, request: KeyRequest): KeyVerdict {
     const replica = this.#replicas[slot];
     return replica === undefined
@@ -198,32 +200,36 @@
       : replica.judge(request, this.#options.clock.now());
   }
 
-  /** Records a new key; resolves once it may be sent, or may never be. */
+  /**
+   * Claims a new key. Resolves once it is decided whether the request may be
+   * sent.
+   */
   open(slot: number, request: KeyRequest): Promise<ClaimEnd> {
     const replica = this.#replicas[slot];
     if (replica === undefined) return Promise.resolve("withdrawn");
     const { clock } = this.#options;
     return new Promise((resolve) => {
       this.#claims.set(request.key, resolve);
-      this.#run(replica, replica.open(request, clock.now()));
+      this.#applyEffects(replica, replica.open(request, clock.now()));
     });
   }
 
-  /** Gives up a claim that is still waiting. */
+  /** Withdraws a claim that is not decided yet. */
   withdraw(slot: number, key: string): void {
     const replica = this.#replicas[slot];
     if (replica?.withdraw(key) !== true) return;
-    this.#run(replica, replica.finish(key, "withdrawn"));
+    this.#applyEffects(replica, replica.finish(key, "withdrawn"));
     this.#settle(key, "withdrawn");
   }
 
   /** Records how a key ended. */
   finish(slot: number, key: string, status: KeyStatus): void {
     const replica = this.#replicas[slot];
-    if (replica !== undefined) this.#run(replica, replica.finish(key, status));
+    if (replica !== undefined)
+      this.#applyEffects(replica, replica.finish(key, status));
   }
 
-  /** Takes in a message; returns the answers to its sender. */
+  /** Applies a message; returns the answers for its sender. */
   receive(from: HostId, message: SlotMessage): readonly SlotMessage[] {
     const replica = this.#replicas[message.slot];
     if (replica === undefined) return [];
@@ -231,38 +237,42 @@
     const answers = effects.flatMap((effect) =>
       effect.kind === "send" && effect.to === from ? [effect.message] : [],
     );
-    this.#run(
+    this.#applyEffects(
       replica,
       effects.filter((effect) => effect.kind !== "send" || effect.to !== from),
     );
     return answers;
   }
 
-  /** Moves the slots on: replaces what is gone, hands over what is misplaced. */
+  /**
+   * Runs one round of maintenance: replaces hosts that are gone, hands over slots
+   * that are misplaced, prunes key records and creates missing table objects.
+   */
   async maintain(): Promise<void> {
     const view = this.#options.view();
     if (!this.#table.listed) return;
     const steps = this.#replicas
       .map((replica) => ({ replica, step: decidePlacement(replica, view) }))
       .filter(({ step }) => step.kind !== "none")
-      .slice(0, STEPS_PER_ROUND);
-    steps.forEach(({ replica, step }) => this.#take(replica, step, view));
+      .slice(0, MAXIMUM_STEPS_PER_ROUND);
+    steps.forEach(({ replica, step }) => this.#applyStep(replica, step, view));
     this.#prune(this.#options.steadyClock.now());
     await this.#createMissing(view);
   }
 
-  #prune(steadyNow: number): void {
-    if (steadyNow - this.#prunedAt < PRUNE_MILLISECONDS) return;
-    this.#prunedAt = steadyNow;
-    this.#replicas.forEach((replica) => replica.prune(steadyNow));
+  #prune(monotonicNow: number): void {
+    if (monotonicNow - this.#prunedAt < PRUNE_INTERVAL_MILLISECONDS) return;
+    this.#prunedAt = monotonicNow;
+    this.#replicas.forEach((replica) => replica.prune(monotonicNow));
   }
 
-  /** Asks every backup to take over, before a planned stop. */
+  /** Hands all slots over to their backups, before a planned stop. */
   handOverAll(): void {
     if (!this.#options.view().reachesStore) return;
     [...this.#primaries].forEach((slot) => {
       const replica = this.#replicas[slot];
-      if (replica !== undefined) this.#run(replica, this.#handOver(replica));
+      if (replica !== undefined)
+        this.#applyEffects(replica, this.#handOver(replica));
     });
   }
 
@@ -271,7 +281,11 @@
     await this.#owned[Symbol.asyncDispose]();
   }
 
-  #take(replica: SlotReplica, step: PlacementStep, view: PlacementView): void {
+  #applyStep(
+    replica: SlotReplica,
+    step: PlacementStep,
+    view: PlacementView,
+  ): void {
     this.#options.metrics.count("slot_step", step.kind);
     const act = this.#stepActions[step.kind] as (
       replica: SlotReplica,
@@ -282,25 +296,29 @@
     if (step.kind === "teach") {
       this.#options.listener.teaching(replica.slot, step.host);
     }
-    this.#run(replica, effects);
+    this.#applyEffects(replica, effects);
   }
 
   /**
-   * Closes a slot to new claims and hands it over once none is waiting. Where
-   * that does not succeed in time, the slot serves on for a while.
+   * Closes a slot to new claims and hands it over once none is waiting. If that
+   * takes longer than {@link HAND_OVER_TIMEOUT_MILLISECONDS}, the slot opens
+   * again for {@link HAND_OVER_RETRY_DELAY_MILLISECONDS}.
    */
   #handOver(replica: SlotReplica): readonly SlotEffect[] {
     const { slot, entry } = replica;
     const now = this.#options.clock.now();
     if (entry?.backup === undefined) return [];
-    if (now < (this.#servesUntil.get(slot) ?? 0)) return [];
-    const since = this.#closing.get(slot) ?? now;
-    if (now - since > HAND_OVER_MILLISECONDS) {
-      this.#closing.delete(slot);
-      this.#servesUntil.set(slot, now + HAND_OVER_AGAIN_MILLISECONDS);
+    if (now < (this.#handOverAllowedAt.get(slot) ?? 0)) return [];
+    const since = this.#closingSince.get(slot) ?? now;
+    if (now - since > HAND_OVER_TIMEOUT_MILLISECONDS) {
+      this.#closingSince.delete(slot);
+      this.#handOverAllowedAt.set(
+        slot,
+        now + HAND_OVER_RETRY_DELAY_MILLISECONDS,
+      );
       return [];
     }
-    this.#closing.set(slot, since);
+    this.#closingSince.set(slot, since);
     return replica.claimsWaiting ? [] : replica.handOver();
   }
 
@@ -315,15 +333,17 @@
     );
   }
 
-  #run(replica: SlotReplica, effects: readonly SlotEffect[]): void {
+  #applyEffects(replica: SlotReplica, effects: readonly SlotEffect[]): void {
     effects.forEach((effect) => {
-      const apply = this.#effects[effect.kind] as (effect: SlotEffect) => void;
+      const apply = this.#effectHandlers[effect.kind] as (
+        effect: SlotEffect,
+      ) => void;
       apply(effect);
     });
-    this.#note(replica);
+    this.#updatePrimaries(replica);
   }
 
-  readonly #effects: {
+  readonly #effectHandlers: {
     readonly [Kind in SlotEffect["kind"]]: (
       effect: Extract<SlotEffect, { readonly kind: Kind }>,
     ) => void;
@@ -348,11 +368,11 @@
     resolve?.(end);
   }
 
-  #note(replica: SlotReplica): void {
+  #updatePrimaries(replica: SlotReplica): void {
     if (replica.role === "primary") this.#primaries.add(replica.slot);
     else {
       this.#primaries.delete(replica.slot);
-      this.#closing.delete(replica.slot);
+      this.#closingSince.delete(replica.slot);
     }
   }
 
--- a/packages/rampswitch-entry/src/replication/slot_table.ts
+++ b/packages/rampswitch-entry/src/replication/slot_table.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The slot table in the platform's store, cut into objects of a few slots.
- * Proposals for one object that come together are written together.
+ * The slot table in the platform's store, split into objects (shards) of
+ * {@link SLOTS_PER_OBJECT} slots each. Proposals for the same object that arrive
+ * within a short time are written together.
  *
  * @module
  */
@@ -22,13 +23,13 @@
   sleep,
 } from "rampswitch-utils";
 
-/** Prefix of the objects of the table. */
+/** Key prefix of the table's objects. */
 export const SLOT_PREFIX = "slots/";
 
-/** Slots in one object. */
+/** Number of slots in one object. */
 export const SLOTS_PER_OBJECT = 16;
 
-const COALESCE_MILLISECONDS = 20;
+const COALESCE_DELAY_MILLISECONDS = 20;
 const MAXIMUM_ROUNDS = 1_000;
 
 interface Shard {
@@ -38,13 +39,13 @@
 
 const NO_SHARD: Shard = { object: undefined, entries: new Map() };
 
-/** What the table tells its owner. */
+/** Callbacks from the table to its owner. */
 export interface SlotTableListener {
-  /** An entry was read that may be news. */
+  /** An entry was read; it may be unchanged. */
   observed(slot: number, entry: SlotEntry): void;
 }
 
-/** How a table is made. */
+/** Options of {@link SlotTable}. */
 export interface SlotTableOptions {
   readonly store: ObjectStore;
   readonly clock: Clock;
@@ -53,7 +54,7 @@
   readonly logger: Logger;
   readonly slots: number;
   readonly listener: SlotTableListener;
-  /** Milliseconds between answers of the watch. */
+  /** Pause between two answers of the watch, in milliseconds. */
   readonly watchPause: () => number;
 }
 
@@ -63,7 +64,7 @@
   readonly #owned = new Ownership();
   readonly #shards = new Map<number, Shard>();
   readonly #proposals = new Map<number, readonly Proposal[]>();
-  readonly #busy = new Set<number>();
+  readonly #settlingShards = new Set<number>();
   #closed = false;
   #listed = false;
 
@@ -71,7 +72,7 @@
     this.#options = options;
   }
 
-  /** Whether the table was read at least once. */
+  /** Whether the whole table was read at least once. */
   get listed(): boolean {
     return this.#listed;
   }
@@ -107,7 +108,11 @@
     );
   }
 
-  /** Asks for a change of an entry; its end is observed like any other. */
+  /**
+   * Proposes a change of an entry and replaces an earlier proposal for the slot.
+   * The result is reported through {@link SlotTableListener.observed}, like any
+   * other change.
+   */
   propose(proposal: Proposal): void {
     const shard = shardOf(proposal.slot);
     const waiting = this.#proposals.get(shard) ?? [];
@@ -115,15 +120,15 @@
       ...waiting.filter(({ slot }) => slot !== proposal.slot),
       proposal,
     ]);
-    this.#work(shard);
+    this.#startSettling(shard);
   }
 
-  /** Reads the object of a slot once more. */
+  /** Reads the object of a slot again. */
   read(slot: number): void {
-    this.#work(shardOf(slot));
+    this.#startSettling(shardOf(slot));
   }
 
-  /** Writes first entries into an object that does not exist. */
+  /** Creates an object with its first entries, unless it exists. */
   async create(
     shard: number,
     entryOf: (slot: number) => SlotEntry | undefined,
@@ -145,7 +150,7 @@
       { expected: "absent" },
     );
     if (written.isOk) this.#observe(written.value);
-    else if (written.error.kind !== "unavailable") this.#work(shard);
+    else if (written.error.kind !== "unavailable") this.#startSettling(shard);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -153,29 +158,29 @@
     await this.#owned[Symbol.asyncDispose]();
   }
 
-  #work(shard: number): void {
-    if (this.#busy.has(shard) || this.#closed) return;
-    this.#busy.add(shard);
-    void this.#settle(shard).finally(() => this.#busy.delete(shard));
+  #startSettling(shard: number): void {
+    if (this.#settlingShards.has(shard) || this.#closed) return;
+    this.#settlingShards.add(shard);
+    void this.#settle(shard).finally(() => this.#settlingShards.delete(shard));
   }
 
   async #settle(shard: number): Promise<void> {
     const { clock, random } = this.#options;
-    await sleep(clock, COALESCE_MILLISECONDS * (0.5 + random.next()));
+    await sleep(clock, COALESCE_DELAY_MILLISECONDS * (0.5 + random.next()));
     let failures = 0;
     for (let round = 0; round < MAXIMUM_ROUNDS && !this.#closed; round += 1) {
       const settled =
-        this.#open(shard).length > 0
+        this.#openProposals(shard).length > 0
           ? await this.#write(shard)
           : await this.#reread(shard);
-      if (settled && this.#open(shard).length === 0) return;
+      if (settled && this.#openProposals(shard).length === 0) return;
       failures = settled ? 0 : failures + 1;
       if (!settled) await sleep(clock, storeBackoff(failures, random));
     }
   }
 
-  /** Proposals whose base is still in force. */
-  #open(shard: number): readonly Proposal[] {
+  /** Proposals whose base epoch is still current; the others are dropped. */
+  #openProposals(shard: number): readonly Proposal[] {
     const { entries } = this.#shards.get(shard) ?? NO_SHARD;
     const open = (this.#proposals.get(shard) ?? []).filter(
       ({ slot, from }) =>
@@ -189,7 +194,7 @@
     const { store, metrics } = this.#options;
     const known = this.#shards.get(shard) ?? NO_SHARD;
     if (known.object === undefined) return this.#reread(shard);
-    const proposals = this.#open(shard);
+    const proposals = this.#openProposals(shard);
     const entries = new Map(known.entries);
     proposals.forEach(({ slot, to }) => entries.set(slot, to));
     const written = await store.put(shardKey(shard), shardValue(entries), {
