--- a/packages/rampswitch-entry/src/configuration/configuration_service.ts
+++ b/packages/rampswitch-entry/src/configuration/configuration_service.ts
@@ -75,9 +75,9 @@
 }
 
 const CHANGE_ATTEMPTS = 8;
-const KEPT_DELTAS = 256;
+const RETAINED_DELTAS = 256;
 const SNAPSHOT_ATTEMPTS = 5;
-const CONFIRM_DEADLINE_MILLISECONDS = 1_000;
+const CONFIRM_TIMEOUT_MILLISECONDS = 1_000;
 
 /** The configuration as one host has it. */
 export class ConfigurationService implements AsyncDisposable {
@@ -134,9 +134,9 @@
         random,
         pause: watchPause,
         listener: {
-          changed: (object) => void this.#takeHead(object, clock.now()),
+          changed: (object) => void this.#adoptHead(object, clock.now()),
           removed: () => this.#options.logger.error("head was removed"),
-          confirmed: (at) => this.#reached(at),
+          confirmed: (at) => this.#recordStoreAnswer(at),
           failed: () => undefined,
         },
       }),
@@ -180,7 +180,7 @@
           { expected: head?.version ?? "absent" },
         );
         if (written.isOk) {
-          await this.#takeHead(written.value, clock.now());
+          await this.#adoptHead(written.value, clock.now());
           void this.#compact(written.value);
           metrics.count("change", "accepted");
           return { kind: "accepted", revision: decision.delta.revision };
@@ -203,11 +203,11 @@
       this.#options.metrics.count("drop", "old_revision");
       return false;
     }
-    const whole =
+    const snapshot =
       sent.stateParts.length > 0
         ? readSnapshot(sent.revision, sent.stateParts)
         : undefined;
-    const next = whole ?? applyDeltas(this.#state, sent.deltas);
+    const next = snapshot ?? applyDeltas(this.#state, sent.deltas);
     this.#adopt(next, sent.deltas);
     if (this.#state.revision < sent.revision) return true;
     this.confirmedByPeer(sent.revision, sent.confirmedAge);
@@ -249,60 +249,63 @@
     if (age < confirmMilliseconds && this.reachesStore) return;
     if (age < confirmMilliseconds / 2) return;
     if (this.#head === undefined) await this.#readHead();
-    else await this.#askForNews(this.#head);
+    else await this.#checkHead(this.#head);
   }
 
   /** Asks whether the head is still the known one; costs few bytes. */
-  async #askForNews(head: StoredObject): Promise<void> {
+  async #checkHead(head: StoredObject): Promise<void> {
     const { store, clock } = this.#options;
-    const asked = clock.now();
-    const signal = AbortSignal.timeout(CONFIRM_DEADLINE_MILLISECONDS);
+    const requestedAt = clock.now();
+    const signal = AbortSignal.timeout(CONFIRM_TIMEOUT_MILLISECONDS);
     const batch = await store.watch(HEAD_KEY, head.version, {
       signal,
       seconds: 0,
     });
     if (batch.isErr) return;
-    this.#reached(asked);
-    const news = batch.value.events
+    this.#recordStoreAnswer(requestedAt);
+    const newerHead = batch.value.events
       .filter(({ key, value }) => key === HEAD_KEY && value !== undefined)
       .at(-1);
-    if (news?.value !== undefined) {
-      await this.#takeHead({ ...news, value: news.value }, asked);
-    } else if (head === this.#head) this.#confirmKnown(head, asked);
+    if (newerHead?.value !== undefined) {
+      await this.#adoptHead(
+        { ...newerHead, value: newerHead.value },
+        requestedAt,
+      );
+    } else if (head === this.#head) this.#confirmHead(head, requestedAt);
   }
 
   /** Notes that the known head was still the head when it was asked for. */
-  #confirmKnown(head: StoredObject, askedAt: number): void {
+  #confirmHead(head: StoredObject, requestedAt: number): void {
     if (parseHead(head.value).revision !== this.#state.revision) return;
-    this.#confirmedAt = Math.max(this.#confirmedAt ?? askedAt, askedAt);
+    this.#confirmedAt = Math.max(this.#confirmedAt ?? requestedAt, requestedAt);
   }
 
   async #readHead(): Promise<
     { readonly object: StoredObject | undefined } | undefined
   > {
-    const asked = this.#options.clock.now();
+    const requestedAt = this.#options.clock.now();
     const read = await this.#options.store.get(HEAD_KEY);
     if (read.isErr) return undefined;
-    this.#reached(asked);
+    this.#recordStoreAnswer(requestedAt);
     const object = read.value;
-    if (object !== undefined) await this.#takeHead(object, asked);
-    else if (this.#state.revision === 0) this.#confirmedAt = asked;
+    if (object !== undefined) await this.#adoptHead(object, requestedAt);
+    else if (this.#state.revision === 0) this.#confirmedAt = requestedAt;
     return { object };
   }
 
-  #reached(at: number): void {
+  #recordStoreAnswer(at: number): void {
     this.#reachedStoreAt = Math.max(this.#reachedStoreAt ?? at, at);
   }
 
   /** Moves to a head that was read; one older than known changes nothing. */
-  async #takeHead(object: StoredObject, askedAt: number): Promise<void> {
+  async #adoptHead(object: StoredObject, requestedAt: number): Promise<void> {
     if (object.version < (this.#head?.version ?? 0)) return;
     this.#head = object;
     const head = parseHead(object.value);
     const next = await this.#stateAt(object);
     if (next === undefined) return;
     this.#adopt(next, head.deltas);
-    this.#confirmKnown(object, askedAt);
+    this.#confirmHead(object, requestedAt);
   }
 
   /** The state at a head, by its deltas or by its snapshot. */
@@ -348,15 +351,15 @@
     this.#routing = new RoutingTable(
       [...next.resources.values()].map(({ resource }) => resource),
     );
-    const news = deltas.filter(({ revision }) => revision > before);
-    this.#deltas = [...this.#deltas, ...news].slice(-KEPT_DELTAS);
+    const newDeltas = deltas.filter(({ revision }) => revision > before);
+    this.#deltas = [...this.#deltas, ...newDeltas].slice(-RETAINED_DELTAS);
     this.#inForceSince = new Map(
       [...this.#inForceSince, [next.revision, now] as const].slice(
-        -KEPT_DELTAS,
+        -RETAINED_DELTAS,
       ),
     );
     this.#options.metrics.gauge("configuration_revision", next.revision);
-    this.#options.listener.changed(next, news);
+    this.#options.listener.changed(next, newDeltas);
   }
 
   /** Cuts a snapshot; whatever is cut off half way leaves only spare parts. */
@@ -378,10 +381,10 @@
       revision: state.revision,
       parts: parts.length,
     });
-    const swapped = await store.put(HEAD_KEY, JSON.stringify(next), {
+    const replaced = await store.put(HEAD_KEY, JSON.stringify(next), {
       expected: object.version,
     });
-    if (swapped.isErr) return;
+    if (replaced.isErr) return;
     logger.info("snapshot cut", { revision: state.revision });
     await this.#removeObsolete(next);
   }
--- a/packages/rampswitch-entry/src/duties/capacity_service.ts
+++ b/packages/rampswitch-entry/src/duties/capacity_service.ts
@@ -42,14 +42,14 @@
   readonly gate: Pick<AdmissionGate, "waiting">;
 }
 
-const STARTS_AT_ONCE = 2;
+const CONCURRENT_STARTS = 2;
 
 /**
  * How long a class is not asked for after a start that brought no host, in
  * milliseconds. The cloud runs out of a class for minutes; a call without an
  * answer tells nothing about the class, so the next round may ask again.
  */
-const ASK_AGAIN_MILLISECONDS: Readonly<
+const RETRY_START_MILLISECONDS: Readonly<
   Record<"refused" | "unavailable", number>
 > = { refused: 60_000, unavailable: 1_000 };
 
@@ -70,7 +70,7 @@
   }
 
   /** Runs one round under a lease. */
-  async round(lease: Lease, holds: () => boolean): Promise<void> {
+  async round(lease: Lease, holdsLease: () => boolean): Promise<void> {
     const { cloud, clock, metrics, logger } = this.#options;
     const listed = await cloud.hosts();
     if (listed.isErr) {
@@ -80,18 +80,18 @@
       });
       return;
     }
-    const own = listed.value.filter(({ token }) =>
+    const startedHosts = listed.value.filter(({ token }) =>
       token.startsWith(`${this.#service.name}/`),
     );
-    await this.#addStarted(own, lease);
+    await this.#addStarted(startedHosts, lease);
     await this.#endDrained(lease);
     const plan = planCapacity(
       {
         now: clock.now(),
         demand: this.#demand(),
-        hosts: this.#plannedHosts(own),
+        hosts: this.#plannedHosts(startedHosts),
         classes: this.#plannedClasses(),
-        downloadsFree: STARTS_AT_ONCE,
+        downloadsFree: CONCURRENT_STARTS,
       },
       this.#memory,
     );
@@ -99,7 +99,7 @@
     metrics.gauge("capacity_missing", plan.missing);
     await Promise.all(
       plan.actions.map(async (action, index) => {
-        if (holds()) await this.#act(action, { lease, index });
+        if (holdsLease()) await this.#execute(action, { lease, index });
       }),
     );
   }
@@ -110,41 +110,41 @@
       .map(({ server }) => server);
   }
 
-  async #act(
+  async #execute(
     action: CapacityAction,
-    place: { readonly lease: Lease; readonly index: number },
+    context: { readonly lease: Lease; readonly index: number },
   ): Promise<void> {
-    if (action.kind === "start") await this.#start(action, place);
-    else await this.#drain(action.host, place.lease);
+    if (action.kind === "start") await this.#start(action, context);
+    else await this.#drain(action.host, context.lease);
   }
 
   async #start(
     action: Extract<CapacityAction, { readonly kind: "start" }>,
-    place: { readonly lease: Lease; readonly index: number },
+    context: { readonly lease: Lease; readonly index: number },
   ): Promise<void> {
     const { clock, cloud, metrics } = this.#options;
     const now = clock.now();
     const { hostClass, dataHall } = action;
     const token = [
       this.#service.name,
-      place.lease.epoch,
+      context.lease.epoch,
       now,
-      place.index,
+      context.index,
     ].join("/");
     const started = await cloud.start(hostClass, dataHall, { token });
-    const end = started.isOk ? "started" : started.error;
-    metrics.count("host_start", end);
+    const outcome = started.isOk ? "started" : started.error;
+    metrics.count("host_start", outcome);
     if (started.isOk) return;
     this.#options.logger.warn("host not started", {
       service: this.#service.name,
       hostClass,
       dataHall,
       error: started.error,
-      notAskedForMilliseconds: ASK_AGAIN_MILLISECONDS[started.error],
+      notAskedForMilliseconds: RETRY_START_MILLISECONDS[started.error],
     });
     this.#refusedUntil.set(
       `${hostClass}/${dataHall}`,
-      now + ASK_AGAIN_MILLISECONDS[started.error],
+      now + RETRY_START_MILLISECONDS[started.error],
     );
   }
 
--- a/packages/rampswitch-entry/src/duties/control_service.ts
+++ b/packages/rampswitch-entry/src/duties/control_service.ts
@@ -40,12 +40,12 @@
   readonly startsHosts: boolean;
 }
 
-const ROUND_MILLISECONDS = 2_000;
-const CONTENDERS = 2;
-const ORDERS_AT_ONCE = 2;
-const ORDER_MILLISECONDS = 3_000;
+const ROUND_INTERVAL_MILLISECONDS = 2_000;
+const LEASE_CANDIDATES = 2;
+const CONCURRENT_ORDERS = 2;
+const ORDER_TIMEOUT_MILLISECONDS = 3_000;
 
-interface Territory {
+interface LeaseTenure {
   readonly keeper: LeaseKeeper;
   epoch: number;
   done: ReadonlySet<string>;
@@ -56,7 +56,7 @@
   readonly #options: ControlOptions;
   readonly #owned = new Ownership();
   readonly #client: BackendClient;
-  readonly #territories = new Map<string, Territory>();
+  readonly #tenures = new Map<string, LeaseTenure>();
   readonly #capacity = new Map<string, CapacityService>();
 
   constructor(options: ControlOptions) {
@@ -70,7 +70,7 @@
     this.#owned.own(
       repeat(
         clock,
-        () => jitter(random, ROUND_MILLISECONDS),
+        () => jitter(random, ROUND_INTERVAL_MILLISECONDS),
         () => this.#round(),
       ),
     );
@@ -103,25 +103,26 @@
       atOnce: 1,
     });
     const name = `orders/${service.name}/${self.dataHall}`;
-    if (wanted.length === 0 || !this.#contends(name, self.dataHall)) return;
-    const territory = this.#territory(name);
-    const lease = await territory.keeper.keep();
+    if (wanted.length === 0 || !this.#isLeaseCandidate(name, self.dataHall))
+      return;
+    const tenure = this.#tenureOf(name);
+    const lease = await tenure.keeper.acquireOrRenew();
     if (lease === undefined) return;
-    this.#enter(territory, lease);
+    this.#beginTenure(tenure, lease);
     const due = planOrders(service, servers, {
-      done: territory.done,
-      atOnce: ORDERS_AT_ONCE,
+      done: tenure.done,
+      atOnce: CONCURRENT_ORDERS,
     });
-    await Promise.all(due.map((order) => this.#order(territory, order)));
+    await Promise.all(due.map((order) => this.#order(tenure, order)));
   }
 
-  async #order(territory: Territory, due: DueOrder): Promise<void> {
+  async #order(tenure: LeaseTenure, due: DueOrder): Promise<void> {
     const { metrics, self } = this.#options;
-    const lease = territory.keeper.held;
+    const lease = tenure.keeper.held;
     if (lease === undefined) return;
     const decision = decideOrder(due.kind, lease, {
       contract: due.server.contract,
-      terms: territory.keeper.terms,
+      terms: tenure.keeper.terms,
     });
     metrics.count("order", decision.kind);
     if (decision.kind !== "send") return;
@@ -133,7 +134,7 @@
     });
     metrics.count("order_answer", answer);
     if (answer === "done") {
-      territory.done = new Set([...territory.done, orderKey(due)]);
+      tenure.done = new Set([...tenure.done, orderKey(due)]);
     }
   }
 
@@ -146,8 +147,8 @@
       path: "/v1/orders",
       headers: { "content-type": "application/json" },
       body: Buffer.from(JSON.stringify(order)),
-      timeoutMilliseconds: ORDER_MILLISECONDS,
-      signal: AbortSignal.timeout(ORDER_MILLISECONDS),
+      timeoutMilliseconds: ORDER_TIMEOUT_MILLISECONDS,
+      signal: AbortSignal.timeout(ORDER_TIMEOUT_MILLISECONDS),
     });
     if (reply.isErr) return "failed";
     await reply.value.body.dump().catch(() => undefined);
@@ -158,9 +159,9 @@
   /** Capacity of a service in all data halls. */
   async #capacityRound(service: Service): Promise<void> {
     const name = `capacity/${service.name}`;
-    if (!this.#contends(name, undefined)) return;
-    const { keeper } = this.#territory(name);
-    const lease = await keeper.keep();
+    if (!this.#isLeaseCandidate(name, undefined)) return;
+    const { keeper } = this.#tenureOf(name);
+    const lease = await keeper.acquireOrRenew();
     if (lease === undefined) return;
     const known = this.#capacity.get(service.name);
     const capacity = known ?? new CapacityService(service, this.#options);
@@ -168,34 +169,34 @@
     await capacity.round(lease, () => keeper.held !== undefined);
   }
 
-  #territory(name: string): Territory {
-    const known = this.#territories.get(name);
+  #tenureOf(name: string): LeaseTenure {
+    const known = this.#tenures.get(name);
     if (known !== undefined) return known;
     const { self } = this.#options;
-    const territory = {
+    const tenure = {
       keeper: new LeaseKeeper(name, { ...this.#options, self: self.id }),
       epoch: 0,
       done: new Set<string>(),
     };
-    this.#territories.set(name, territory);
-    return territory;
+    this.#tenures.set(name, tenure);
+    return tenure;
   }
 
   /** Begins a tenure: what a former holder ordered may not have arrived. */
-  #enter(territory: Territory, lease: Lease): void {
-    if (territory.epoch === lease.epoch) return;
-    territory.epoch = lease.epoch;
-    territory.done = new Set();
+  #beginTenure(tenure: LeaseTenure, lease: Lease): void {
+    if (tenure.epoch === lease.epoch) return;
+    tenure.epoch = lease.epoch;
+    tenure.done = new Set();
   }
 
   /** Whether this host is one of the few that ask for a lease. */
-  #contends(name: string, dataHall: string | undefined): boolean {
+  #isLeaseCandidate(name: string, dataHall: string | undefined): boolean {
     const names = this.#options.membership.placementHosts
       .filter((host) => !host.leaving)
       .filter((host) => dataHall === undefined || host.dataHall === dataHall)
       .map((host) => host.name);
     return rendezvousOrder(name, names)
-      .slice(0, CONTENDERS)
+      .slice(0, LEASE_CANDIDATES)
       .includes(this.#options.self.name);
   }
 }
--- a/packages/rampswitch-entry/src/duties/lease_keeper.ts
+++ b/packages/rampswitch-entry/src/duties/lease_keeper.ts
@@ -17,7 +17,7 @@
 /** Prefix of all lease objects. */
 export const LEASE_PREFIX = "leases/";
 
-const ATTEMPTS = 3;
+const WRITE_ATTEMPTS = 3;
 
 /** How a keeper is made. */
 export interface LeaseKeeperOptions {
@@ -61,25 +61,25 @@
   }
 
   /** Takes or renews the lease if its time has come. */
-  async keep(): Promise<Lease | undefined> {
+  async acquireOrRenew(): Promise<Lease | undefined> {
     const { clock, random, store, metrics, leaseMilliseconds } = this.#options;
     const now = clock.now();
     const held = this.held;
-    const fresh =
+    const renewalNotDue =
       held !== undefined && held.expiresAt - now > leaseMilliseconds / 2;
-    if (fresh || now < this.#waitUntil) return this.held;
+    if (renewalNotDue || now < this.#waitUntil) return this.held;
     let wanted: Lease | undefined;
     const settled = await changeObject<Lease | undefined>(
       store,
       {
         key: this.#key,
-        attempts: ATTEMPTS,
+        attempts: WRITE_ATTEMPTS,
         decide: (current) => {
           const found =
             current === undefined
               ? undefined
               : (JSON.parse(current.value) as Lease);
-          if (wanted !== undefined && same(found, wanted)) {
+          if (wanted !== undefined && isSameLease(found, wanted)) {
             return { kind: "keep", refusal: found };
           }
           const decision = decideLease(found, this.terms);
@@ -100,7 +100,7 @@
   }
 }
 
-function same(left: Lease | undefined, right: Lease): boolean {
+function isSameLease(left: Lease | undefined, right: Lease): boolean {
   return (
     left?.holder === right.holder &&
     left.epoch === right.epoch &&
--- a/packages/rampswitch-entry/src/entry_parts.ts
+++ b/packages/rampswitch-entry/src/entry_parts.ts
@@ -43,7 +43,7 @@
 import { SlotService } from "./replication/slot_service.ts";
 
 /** What an entry process is made of besides its settings. */
-export interface EntrySurroundings {
+export interface EntryEnvironment {
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -53,18 +53,18 @@
   /** A higher revision is in force here. */
   changed(state: ConfigurationState, deltas: readonly Delta[]): void;
   /** Digests of peers were heard. */
-  heard(digests: readonly HostDigest[]): void;
+  received(digests: readonly HostDigest[]): void;
   /** Hosts were found to be leaving. */
-  leaving(news: readonly LeavingMark[]): void;
+  leaving(marks: readonly LeavingMark[]): void;
   /** This host has become the primary of a slot. */
   takenOver(): void;
 }
 
 /** Calls a second of all hosts together, shared out by their number. */
 const STORE_CALLS_PER_SECOND = 1_500;
-const FEWEST_STORE_CALLS_PER_SECOND = 5;
-const MOST_STORE_CALLS_PER_SECOND = 50;
-const CONFIRM_MILLISECONDS = 1_500;
+const MINIMUM_STORE_CALLS_PER_SECOND = 5;
+const MAXIMUM_STORE_CALLS_PER_SECOND = 50;
+const HEAD_CONFIRMATION_MILLISECONDS = 1_500;
 const WATCH_PAUSE_PER_HOST_MILLISECONDS = 5;
 const INCARNATION_DIGITS = 8;
 
@@ -99,13 +99,13 @@
 
   constructor(
     settings: Settings,
-    surroundings: EntrySurroundings,
+    environment: EntryEnvironment,
     listener: PartsListener,
   ) {
     this.#listener = listener;
     this.settings = settings;
-    this.clock = surroundings.clock;
-    this.logger = surroundings.logger;
+    this.clock = environment.clock;
+    this.logger = environment.logger;
     this.random = seededRandom(hash32(randomUUID()));
     this.self = ownHost(settings, this.clock.now());
     this.metrics = this.#owned.own(
@@ -114,7 +114,7 @@
     this.tokens = new PeerTokens(settings.peerSecret, settings.host.name);
     this.clients = new PeerClients(this.tokens, this.clock);
     this.store = this.#owned.own(this.#makeStore());
-    this.book = this.#makeBook();
+    this.book = this.#makeAnswerCache();
     this.links = this.#owned.own(this.#makeLinks());
     this.configuration = this.#owned.own(this.#makeConfiguration());
     this.slots = this.#owned.own(this.#makeSlots());
@@ -174,7 +174,7 @@
     });
   }
 
-  #makeBook(): AnswerCache {
+  #makeAnswerCache(): AnswerCache {
     const { limits } = this.settings;
     return new AnswerCache(this.clock, this.metrics, {
       answerBytes: limits.answerBytes,
@@ -190,7 +190,7 @@
           const message = slotMessageFromWire(wire);
           if (message !== undefined) this.slots.receive(from, message);
         }),
-      failed: (host) => this.membership.unreachable(host),
+      failed: (host) => this.membership.markUnreachable(host),
       addressOf: (host) =>
         this.membership.isGone(host)
           ? undefined
@@ -209,7 +209,7 @@
     return new ConfigurationService({
       ...this.#shared,
       store: this.store,
-      confirmMilliseconds: CONFIRM_MILLISECONDS,
+      confirmMilliseconds: HEAD_CONFIRMATION_MILLISECONDS,
       watchPause: () => this.#watchPause(),
       listener: {
         changed: (state, deltas) => this.#listener.changed(state, deltas),
@@ -305,8 +305,8 @@
         load: this.working + this.gate.counts.waiting,
       }),
       listener: {
-        heard: (digests) => this.#listener.heard(digests),
-        leaving: (news) => this.#listener.leaving(news),
+        received: (digests) => this.#listener.received(digests),
+        leaving: (marks) => this.#listener.leaving(marks),
         gone: (host) => this.links.forget(host),
         partners: () => this.slots.partners,
       },
@@ -318,8 +318,8 @@
     const hosts = (this.#started ? this.membership.members.size : 0) + 1;
     const share = STORE_CALLS_PER_SECOND / hosts;
     return Math.min(
-      MOST_STORE_CALLS_PER_SECOND,
-      Math.max(FEWEST_STORE_CALLS_PER_SECOND, share),
+      MAXIMUM_STORE_CALLS_PER_SECOND,
+      Math.max(MINIMUM_STORE_CALLS_PER_SECOND, share),
     );
   }
 
--- a/packages/rampswitch-entry/src/entry_process.ts
+++ b/packages/rampswitch-entry/src/entry_process.ts
@@ -22,37 +22,38 @@
   EntryListeners,
 } from "./intake/entry_listeners.ts";
 import {
-  takeConfiguration,
-  takeDigests,
-  takeLeaving,
+  handleConfigurationChange,
+  handleDigests,
+  handleLeavingHosts,
   recoverLostRequests,
 } from "./membership/entry_news.ts";
-import { EntryParts, type EntrySurroundings } from "./entry_parts.ts";
+import { EntryParts, type EntryEnvironment } from "./entry_parts.ts";
 import { httpCloud } from "./membership/platform_clients.ts";
 import type { ProblemOutcome } from "./intake/problem.ts";
-import { ProcessLife } from "./process_machine.ts";
+import { ProcessLifecycle } from "./process_machine.ts";
 
-const PREPARE_MILLISECONDS = 50;
-const MAINTAIN_MILLISECONDS = 500;
+const READINESS_POLL_MILLISECONDS = 50;
+const MAINTENANCE_INTERVAL_MILLISECONDS = 500;
 const DRAIN_POLL_MILLISECONDS = 100;
 const DRAIN_GRACE_MILLISECONDS = 1_000;
-const LAST_WORDS_MILLISECONDS = 200;
+const FINAL_FLUSH_MILLISECONDS = 200;
 const RETRY_AFTER = { retryAfterMilliseconds: 1_000 };
 
 /** A running entry process. */
 export class EntryProcess implements AsyncDisposable {
   readonly #owned = new Ownership();
   #stopped: Promise<void> | undefined;
-  readonly #life = new ProcessLife();
+  readonly #lifecycle = new ProcessLifecycle();
   readonly #parts: EntryParts;
   #addresses: EntryAddresses | undefined;
 
-  private constructor(settings: Settings, surroundings: EntrySurroundings) {
+  private constructor(settings: Settings, environment: EntryEnvironment) {
     this.#parts = this.#owned.own(
-      new EntryParts(settings, surroundings, {
-        changed: (_state, deltas) => takeConfiguration(this.#parts, deltas),
-        heard: (digests) => takeDigests(this.#parts, digests),
-        leaving: (news) => this.#leaving(news),
+      new EntryParts(settings, environment, {
+        changed: (_state, deltas) =>
+          handleConfigurationChange(this.#parts, deltas),
+        received: (digests) => handleDigests(this.#parts, digests),
+        leaving: (marks) => this.#handleLeavingHosts(marks),
         takenOver: () => recoverLostRequests(this.#parts),
       }),
     );
@@ -61,9 +62,9 @@
   /** Starts a process; resolves once it listens. */
   static async start(
     settings: Settings,
-    surroundings: EntrySurroundings,
+    environment: EntryEnvironment,
   ): Promise<EntryProcess> {
-    const entry = new EntryProcess(settings, surroundings);
+    const entry = new EntryProcess(settings, environment);
     await entry.#start();
     return entry;
   }
@@ -80,7 +81,9 @@
 
   /** Whether the balancer should send callers here. */
   get ready(): boolean {
-    return this.#life.state === "serving" && TAKES_NEW_WORK[this.freshness];
+    return (
+      this.#lifecycle.state === "serving" && TAKES_NEW_WORK[this.freshness]
+    );
   }
 
   /** Freshness of the configuration here. */
@@ -91,15 +94,16 @@
     const members = [...membership.members.values()].filter(
       ({ digest }) => !membership.isGone(digest.host.id),
     );
-    const heard = members.filter(({ suspected }) => !suspected);
+    const trustedMembers = members.filter(({ suspected }) => !suspected);
     return judgeFreshness(
       {
         now,
         confirmedAt: configuration.confirmedAt,
         peersKnown: members.length,
-        peersHeard: heard.length,
-        peersReachingStore: heard.filter(({ digest }) => digest.reachesStore)
-          .length,
+        peersHeard: trustedMembers.length,
+        peersReachingStore: trustedMembers.filter(
+          ({ digest }) => digest.reachesStore,
+        ).length,
       },
       { milliseconds: freshnessMilliseconds, minorityServes },
     );
@@ -107,8 +111,8 @@
 
   /** Resolves once the process is ready for callers. */
   async untilReady(): Promise<void> {
-    while (!this.ready && this.#life.state !== "stopped") {
-      await sleep(this.#parts.clock, PREPARE_MILLISECONDS);
+    while (!this.ready && this.#lifecycle.state !== "stopped") {
+      await sleep(this.#parts.clock, READINESS_POLL_MILLISECONDS);
     }
   }
 
@@ -123,15 +127,15 @@
   }
 
   async #stop(): Promise<void> {
-    if (!this.#life.handle({ type: "stop" })) return;
+    if (!this.#lifecycle.handle({ type: "stop" })) return;
     const { clock, logger, membership, replication, settings } = this.#parts;
     logger.info("stopping");
     membership.leave();
     replication.flush();
     await this.#drain(clock.now() + settings.limits.stopMilliseconds);
     replication.flush();
-    await sleep(clock, LAST_WORDS_MILLISECONDS);
-    this.#life.handle({ type: "finished" });
+    await sleep(clock, FINAL_FLUSH_MILLISECONDS);
+    this.#lifecycle.handle({ type: "finished" });
     logger.info("stopped", { working: this.#parts.working });
     await this[Symbol.asyncDispose]();
   }
@@ -146,7 +150,7 @@
       await EntryListeners.start(parts, {
         refusal: () => this.#refusal(),
         ready: () => this.ready,
-        state: () => this.#life.state,
+        state: () => this.#lifecycle.state,
         freshness: () => this.freshness,
       }),
     );
@@ -158,23 +162,23 @@
       callerAddress: advertise.callers ?? listeners.addresses.callers,
     };
     parts.start();
-    this.#startRounds();
+    this.#startPeriodicWork();
     void this.#prepare();
     parts.logger.info("listening", { ...listeners.addresses });
   }
 
-  #startRounds(): void {
+  #startPeriodicWork(): void {
     const parts = this.#parts;
     const { clock, random, settings } = parts;
     this.#owned.own(
       repeat(
         clock,
-        () => MAINTAIN_MILLISECONDS * (0.5 + random.next()),
+        () => MAINTENANCE_INTERVAL_MILLISECONDS * (0.5 + random.next()),
         async () => {
           await parts.slots.maintain();
           recoverLostRequests(parts);
           parts.book.expire();
-          this.#showGauges();
+          this.#updateGauges();
         },
       ),
     );
@@ -195,36 +199,36 @@
   async #prepare(): Promise<void> {
     const { clock, slots, logger, configuration } = this.#parts;
     while (this.freshness === "never" || !slots.ready) {
-      if (this.#life.state !== "starting") return;
-      await sleep(clock, PREPARE_MILLISECONDS);
+      if (this.#lifecycle.state !== "starting") return;
+      await sleep(clock, READINESS_POLL_MILLISECONDS);
     }
-    if (!this.#life.handle({ type: "prepared" })) return;
+    if (!this.#lifecycle.handle({ type: "prepared" })) return;
     logger.info("ready", { revision: configuration.state.revision });
   }
 
   /** Hands slots over and waits for running work, until a time at most. */
   async #drain(deadline: number): Promise<void> {
     const { clock, slots, membership } = this.#parts;
-    const quietAfter = clock.now() + DRAIN_GRACE_MILLISECONDS;
+    const idleAfter = clock.now() + DRAIN_GRACE_MILLISECONDS;
     while (clock.now() < deadline) {
       slots.handOverAll();
-      const idle = this.#parts.working === 0 && clock.now() >= quietAfter;
-      const alone = membership.trusted.length === 0;
-      if (idle && (alone || slots.heldSlots === 0)) return;
+      const idle = this.#parts.working === 0 && clock.now() >= idleAfter;
+      const hasNoPeers = membership.trusted.length === 0;
+      if (idle && (hasNoPeers || slots.heldSlots === 0)) return;
       await sleep(clock, DRAIN_POLL_MILLISECONDS);
     }
   }
 
-  #leaving(news: readonly LeavingMark[]): void {
-    takeLeaving(this.#parts, news);
+  #handleLeavingHosts(marks: readonly LeavingMark[]): void {
+    handleLeavingHosts(this.#parts, marks);
     const { name, startedAt } = this.#parts.self;
-    const own = news.some(
+    const includesSelf = marks.some(
       (mark) => mark.host === name && markConcerns(mark, startedAt),
     );
-    if (own) void this.stop();
+    if (includesSelf) void this.stop();
   }
 
-  #showGauges(): void {
+  #updateGauges(): void {
     const { slots, metrics, membership, book } = this.#parts;
     metrics.gauge("slots_primary", slots.heldSlots);
     metrics.gauge("slots_without_backup", slots.slotsWithoutBackup);
@@ -233,14 +237,14 @@
   }
 
   #refusal(): ProblemOutcome | undefined {
-    const refusal = STATE_REFUSALS[this.#life.state];
+    const refusal = STATE_REFUSALS[this.#lifecycle.state];
     if (refusal !== undefined) return refusal;
-    return TAKES_NEW_WORK[this.freshness] ? undefined : STALE;
+    return TAKES_NEW_WORK[this.freshness] ? undefined : STALE_REFUSAL;
   }
 }
 
 const STATE_REFUSALS: Readonly<
-  Record<ProcessLife["state"], ProblemOutcome | undefined>
+  Record<ProcessLifecycle["state"], ProblemOutcome | undefined>
 > = {
   starting: refused("not_ready", "the host is starting", RETRY_AFTER),
   serving: undefined,
@@ -248,7 +252,7 @@
   stopped: refused("stopping", "the host is stopping", RETRY_AFTER),
 };
 
-const STALE = refused(
+const STALE_REFUSAL = refused(
   "configuration_stale",
   "the configuration may have changed elsewhere",
   RETRY_AFTER,
--- a/packages/rampswitch-entry/src/membership/entry_news.ts
+++ b/packages/rampswitch-entry/src/membership/entry_news.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * News that reaches an entry process, and what it does with it.
+ * Handlers for updates of the configuration and the membership that reach an
+ * entry process.
  *
  * @module
  */
@@ -10,8 +11,11 @@
 import { recoverRequests } from "../replication/request_recovery.ts";
 import { announce, catchUp } from "../replication/peer_handlers.ts";
 
-/** A higher revision is in force here: forget what is gone, tell peers. */
-export function takeConfiguration(
+/**
+ * Handles a higher revision in force on this host: drops the state of backend
+ * servers that are no longer configured and announces the revision to peers.
+ */
+export function handleConfigurationChange(
   parts: EntryParts,
   deltas: readonly Delta[],
 ): void {
@@ -23,20 +27,27 @@
   );
   const { revision } = configuration.state;
   logger.info("configuration in force", { revision });
-  void tellPeers(parts, { deltas, leaving: [] });
+  void announceToPeers(parts, { deltas, leaving: [] });
 }
 
-/** Hosts are leaving: move their work, tell peers. */
-export function takeLeaving(
+/**
+ * Handles hosts that are leaving: reports them to the chat runner and announces
+ * them to peers.
+ */
+export function handleLeavingHosts(
   parts: EntryParts,
-  news: readonly LeavingMark[],
+  marks: readonly LeavingMark[],
 ): void {
-  parts.chat.leaving(news);
-  void tellPeers(parts, { deltas: [], leaving: news });
+  parts.chat.leaving(marks);
+  void announceToPeers(parts, { deltas: [], leaving: marks });
 }
 
-/** Digests of peers: confirmations of the revision, or a higher one. */
-export function takeDigests(
+/**
+ * Handles digests of peers. A digest either confirms the revision in force here
+ * or names a higher one. The configuration is then requested from the peer with
+ * the highest revision.
+ */
+export function handleDigests(
   parts: EntryParts,
   digests: readonly HostDigest[],
 ): void {
@@ -45,16 +56,16 @@
     configuration.confirmedByPeer(revision, confirmedAge),
   );
   const ahead = digests.reduce<HostDigest | undefined>(
-    (most, digest) =>
-      digest.revision > (most?.revision ?? configuration.state.revision)
+    (highest, digest) =>
+      digest.revision > (highest?.revision ?? configuration.state.revision)
         ? digest
-        : most,
+        : highest,
     undefined,
   );
   if (ahead !== undefined) void catchUp(parts, ahead.host.peerAddress);
 }
 
-/** Goes on with requests whose host is lost. */
+/** Continues requests whose host is lost. */
 export function recoverLostRequests(parts: EntryParts): void {
   recoverRequests({
     ...parts,
@@ -64,9 +75,9 @@
   });
 }
 
-function tellPeers(
+function announceToPeers(
   parts: EntryParts,
-  news: {
+  update: {
     readonly deltas: readonly Delta[];
     readonly leaving: readonly LeavingMark[];
   },
@@ -75,7 +86,7 @@
   const { confirmedAge, revision } = configuration.forPeer(
     configuration.state.revision,
   );
-  const { deltas, leaving } = news;
+  const { deltas, leaving } = update;
   return announce(
     { ...parts, self: parts.self.id },
     {
--- a/packages/rampswitch-entry/src/membership/membership_service.ts
+++ b/packages/rampswitch-entry/src/membership/membership_service.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Membership of the entry hosts as one of them sees it: heartbeats, news of
- * leaving hosts, and proof that processes are gone.
+ * The membership of the entry hosts from the view of one host: heartbeats,
+ * updates on leaving hosts, and proof that processes are gone.
  *
  * @module
  */
@@ -56,52 +56,64 @@
   markToWire,
 } from "../replication/peer_messages.ts";
 import type { CloudClient, HostListClient } from "./platform_clients.ts";
-import { asksPlatform, PlatformWatch } from "./platform_watch.ts";
+import { isPlatformPoller, PlatformWatch } from "./platform_watch.ts";
 
-/** Prefix of the status objects of entry hosts. */
+/** Key prefix of the store objects in which entry hosts publish themselves. */
 export const HOST_PREFIX = "hosts/";
 
 const DIGESTS_PER_MESSAGE = 8;
-const HEARTBEAT_DEADLINE_MILLISECONDS = 800;
-const FORGET_FACTOR = 30;
+const HEARTBEAT_TIMEOUT_MILLISECONDS = 800;
+/** Multiple of the suspicion time after which a silent member is forgotten. */
+const FORGET_SUSPICION_FACTOR = 30;
 const PARTNERS_PER_HEARTBEAT = 2;
 const SEED_RETRY_MILLISECONDS = 1_000;
-/** How much longer a host waits that knows peers already. */
-const SEED_RETRY_FACTOR = 60;
-const ANNOUNCE_PEERS = 4;
-const BYTES_SAMPLE = 8;
-const GONE_PER_MESSAGE = 16;
-
-/** An entry host that the settings name. */
+/** Multiple of the seed retry time for a host that has unsuspected peers. */
+const CONNECTED_SEED_RETRY_FACTOR = 60;
+const ANNOUNCEMENT_TARGETS = 4;
+/** One message of this many is encoded to estimate the bytes sent. */
+const MESSAGES_PER_BYTE_SAMPLE = 8;
+const GONE_HOSTS_PER_MESSAGE = 16;
+
+/** An entry host that is listed in the settings. */
 export interface SeedPeer {
   readonly name: string;
   readonly dataHall: string;
   readonly address: string;
 }
 
-/** What a host says of itself at the moment. */
+/** The current state that a host advertises in its own digest. */
 export interface OwnState {
+  /** Revision of the configuration in force. */
   readonly revision: number;
+  /**
+   * Milliseconds since the revision was confirmed as the head; -1 if it never
+   * was.
+   */
   readonly confirmedAge: number;
+  /** Whether the store answered recently. */
   readonly reachesStore: boolean;
+  /** Number of requests that run or wait on the host. */
   readonly load: number;
 }
 
-/** What the service tells its owner. */
+/** Callbacks of the membership service. */
 export interface MembershipListener {
-  /** Digests were heard from a peer or passed on by it. */
-  heard(digests: readonly HostDigest[]): void;
-  /** Hosts were found to be leaving. */
-  leaving(news: readonly LeavingMark[]): void;
-  /** A process was proved gone, or was forgotten. */
+  /** Called with digests that a peer sent: its own and those it relayed. */
+  received(digests: readonly HostDigest[]): void;
+  /** Called with marks of hosts that were newly found to be leaving. */
+  leaving(marks: readonly LeavingMark[]): void;
+  /** Called for a process that was proved to be gone or was forgotten. */
   gone(host: HostId): void;
-  /** Peers that hold slots with this host; checked with each heartbeat. */
+  /**
+   * Returns the peers that hold slots together with this host. Each round of
+   * heartbeats includes some of them in turn.
+   */
   partners(): readonly HostId[];
 }
 
-/** How the service is made. */
+/** Options of {@link MembershipService}. */
 export interface MembershipOptions {
-  /** This host, with its addresses once it listens. */
+  /** Returns this host; its addresses are valid once it listens. */
   readonly self: () => Host;
   readonly seeds: readonly SeedPeer[];
   readonly store: ObjectStore;
@@ -119,7 +131,7 @@
   readonly ownState: () => OwnState;
 }
 
-/** The members as one host sees them. */
+/** Tracks the entry hosts from the view of one host. */
 export class MembershipService implements AsyncDisposable {
   readonly #options: MembershipOptions;
   readonly #owned = new Ownership();
@@ -127,19 +139,19 @@
   readonly #gone = new Set<HostId>();
   #members: Members = new Map();
   #marks: LeavingMarks = new Map();
-  #starts: {
+  #latestStarts: {
     readonly members: Members | undefined;
     readonly starts: ReadonlyMap<string, number>;
   } = { members: undefined, starts: new Map() };
   #placement: {
-    readonly mark: string;
+    readonly key: string;
     readonly hosts: readonly PlacementHost[];
-  } = { mark: "", hosts: [] };
+  } = { key: "", hosts: [] };
   #messages = 0;
   #heartbeat = 0;
   #leaving = false;
-  #seedAt = Number.NEGATIVE_INFINITY;
-  #tick = 0;
+  #peersSoughtAt = Number.NEGATIVE_INFINITY;
+  #round = 0;
 
   constructor(options: MembershipOptions) {
     this.#options = options;
@@ -149,13 +161,13 @@
     });
   }
 
-  /** All members but this host. */
+  /** All members except this host. */
   get members(): Members {
     return this.#members;
   }
 
   /**
-   * Whether a process is proved to be gone: by the platform's list, or by a
+   * Whether a process is proved to be gone, by the platform's host list or by a
    * later process of the same name.
    */
   isGone(host: HostId): boolean {
@@ -166,24 +178,24 @@
     );
   }
 
-  /** Hosts that are leaving. */
+  /** Marks of the hosts that are leaving. */
   get marks(): LeavingMarks {
     return this.#marks;
   }
 
-  /** Trusted peers. */
+  /** Peers that are not suspected. */
   get trusted(): readonly Member[] {
     return trusted(this.#members);
   }
 
-  /** Whether this host has said that it is leaving. */
+  /** Whether this host has announced that it is leaving. */
   get selfLeaving(): boolean {
     return this.#leaving;
   }
 
   /**
-   * Trusted members and this host, for the placement of slots. The list stays
-   * the same object while it says the same.
+   * Trusted members and this host, for the placement of slots. The getter
+   * returns the same array until a host or its leaving state changes.
    */
   get placementHosts(): readonly PlacementHost[] {
     const self = this.#options.self();
@@ -194,17 +206,17 @@
         leaving: digest.leaving,
       })),
     ];
-    const mark = hosts.map(({ id, leaving }) => `${id} ${leaving}`).join();
-    if (mark !== this.#placement.mark) this.#placement = { mark, hosts };
+    const key = hosts.map(({ id, leaving }) => `${id} ${leaving}`).join();
+    if (key !== this.#placement.key) this.#placement = { key: key, hosts };
     return this.#placement.hosts;
   }
 
-  /** A member by its identity. */
+  /** Finds a member by its identity. */
   find(host: HostId): Member | undefined {
     return this.#members.get(host);
   }
 
-  /** Whether a process is a trusted member, or this one. */
+  /** Whether a process is a trusted member or this process. */
   trusts(host: HostId): boolean {
     return (
       host === this.#options.self().id ||
@@ -212,7 +224,10 @@
     );
   }
 
-  /** Publishes this host and starts the heartbeats. */
+  /**
+   * Publishes this host in the store and starts the heartbeats and the polling
+   * of the platform.
+   */
   start(): void {
     const { clock, random, heartbeatMilliseconds } = this.#options;
     void this.#publish();
@@ -221,7 +236,7 @@
         repeat(
           clock,
           () => jitter(random, heartbeatMilliseconds),
-          () => this.#beat(),
+          () => this.#sendHeartbeats(),
         ),
       )
       .hurry();
@@ -236,13 +251,13 @@
       .hurry();
   }
 
-  /** Says from now on that this host is leaving. */
+  /** Announces in this and all later heartbeats that this host is leaving. */
   leave(): void {
     this.#leaving = true;
-    void this.#beat();
+    void this.#sendHeartbeats();
   }
 
-  /** Takes in marks and tells about those that are news. */
+  /** Adds leaving marks and notifies the listener of the new ones. */
   mark(marks: readonly LeavingMark[]): void {
     const added = addMarks(this.#marks, marks, this.#options.clock.now());
     if (added.news.length === 0) return;
@@ -254,27 +269,31 @@
     this.#options.listener.leaving(added.news);
   }
 
-  /** Some trusted peers, for news that must spread at once. */
+  /** Selects some trusted peers for updates that must spread at once. */
   announceTargets(): readonly Member[] {
-    return sample(this.trusted, ANNOUNCE_PEERS, this.#options.random);
+    return sample(this.trusted, ANNOUNCEMENT_TARGETS, this.#options.random);
   }
 
   /** Answers a heartbeat. */
   answer(request: HeartbeatRequest): HeartbeatResponse {
-    this.#hear([request.sender, ...request.others], request.leaving);
+    this.#receive([request.sender, ...request.others], request.leaving);
     request.gone.forEach((host) => this.#proveGone(host));
     const response = create(HeartbeatResponseSchema, {
       responder: digestToWire(this.digest()),
-      others: this.#digests(),
+      others: this.#sampleDigests(),
       leaving: [...this.#marks.values()].map(markToWire),
-      gone: [...this.#gone].slice(-GONE_PER_MESSAGE),
+      gone: [...this.#gone].slice(-GONE_HOSTS_PER_MESSAGE),
     });
     this.#countBytes(() => toBinary(HeartbeatResponseSchema, response));
     return response;
   }
 
-  /** A peer's process refused a connection: it is suspected at once. */
-  unreachable(host: HostId): void {
+  /**
+   * Suspects a peer at once because its process refused a connection. A peer
+   * whose heartbeat advanced within the last two heartbeat intervals is not
+   * suspected.
+   */
+  markUnreachable(host: HostId): void {
     const member = this.#members.get(host);
     if (member === undefined || member.suspected) return;
     const { clock, heartbeatMilliseconds } = this.#options;
@@ -300,22 +319,23 @@
     await this.#owned[Symbol.asyncDispose]();
   }
 
-  /** Start of the latest known process of each name. */
+  /** Start time of the latest known process of each host name. */
   #startsByName(): ReadonlyMap<string, number> {
-    const { members, starts } = this.#starts;
+    const { members, starts } = this.#latestStarts;
     if (members === this.#members) return starts;
-    const fresh = new Map(
+    const latest = new Map(
       [...this.#members.values()].map(({ digest }) => [
         digest.host.name,
         hostStartedAt(digest.host.id),
       ]),
     );
     const self = this.#options.self();
-    fresh.set(self.name, hostStartedAt(self.id));
-    this.#starts = { members: this.#members, starts: fresh };
-    return fresh;
+    latest.set(self.name, hostStartedAt(self.id));
+    this.#latestStarts = { members: this.#members, starts: latest };
+    return latest;
   }
 
+  /** Writes this host to the store unless a later process has done so. */
   async #publish(): Promise<void> {
     const { store, clock, random } = this.#options;
     const self = this.#options.self();
@@ -334,70 +354,75 @@
     );
   }
 
-  async #beat(): Promise<void> {
+  async #sendHeartbeats(): Promise<void> {
     const { clock, random, heartbeatPeers, listener } = this.#options;
     const now = clock.now();
     this.#heartbeat += 1;
-    this.#tick += 1;
-    this.#suspect(now);
+    this.#round += 1;
+    this.#suspectSilentMembers(now);
     this.#marks = endMarks(this.#marks, now);
-    this.#forget(now);
+    this.#forgetSilentMembers(now);
     const partners = listener.partners();
-    const due = partners
+    const duePartners = partners
       .map(
         (_, index) =>
           partners[
-            (this.#tick * PARTNERS_PER_HEARTBEAT + index) % partners.length
+            (this.#round * PARTNERS_PER_HEARTBEAT + index) % partners.length
           ],
       )
       .filter((host) => host !== undefined)
       .slice(0, PARTNERS_PER_HEARTBEAT);
     const targets = heartbeatTargets(this.#members, random, {
       count: heartbeatPeers,
-      always: due,
+      always: duePartners,
     }).map(({ digest }) => ({
       id: digest.host.id,
       address: digest.host.peerAddress,
     }));
-    const seeds = await this.#seeds(now);
+    const seeds = await this.#findPeers(now);
     await Promise.all(
-      [...targets, ...seeds].map(({ id, address }) => this.#send(id, address)),
+      [...targets, ...seeds].map(({ id, address }) =>
+        this.#sendHeartbeat(id, address),
+      ),
     );
   }
 
-  async #send(id: HostId | undefined, address: string): Promise<void> {
+  async #sendHeartbeat(id: HostId | undefined, address: string): Promise<void> {
     const { clients, metrics } = this.#options;
     const request = create(HeartbeatRequestSchema, {
       sender: digestToWire(this.digest()),
-      others: this.#digests(),
+      others: this.#sampleDigests(),
       leaving: [...this.#marks.values()].map(markToWire),
-      gone: [...this.#gone].slice(-GONE_PER_MESSAGE),
+      gone: [...this.#gone].slice(-GONE_HOSTS_PER_MESSAGE),
     });
     this.#countBytes(() => toBinary(HeartbeatRequestSchema, request));
     const answer = await clients.call(address, (client) =>
       client.heartbeat(request, {
-        timeoutMs: HEARTBEAT_DEADLINE_MILLISECONDS,
+        timeoutMs: HEARTBEAT_TIMEOUT_MILLISECONDS,
       }),
     );
     metrics.count("heartbeat", answer.isOk ? "answered" : "failed");
     if (answer.isOk) {
       const { responder, others, leaving } = answer.value;
-      this.#hear([responder, ...others], leaving);
+      this.#receive([responder, ...others], leaving);
       answer.value.gone.forEach((host) => this.#proveGone(host));
     } else if (id !== undefined && answer.error.detail.includes("REFUSED")) {
-      this.unreachable(id);
+      this.markUnreachable(id);
     }
   }
 
-  /** Counts bytes of control messages; looks at one message of some. */
+  /**
+   * Counts the bytes of control messages. Only one message of
+   * {@link MESSAGES_PER_BYTE_SAMPLE} is encoded, and its size is scaled up.
+   */
   #countBytes(encode: () => Uint8Array): void {
     this.#messages += 1;
-    if (this.#messages % BYTES_SAMPLE !== 0) return;
-    const bytes = encode().length * BYTES_SAMPLE;
+    if (this.#messages % MESSAGES_PER_BYTE_SAMPLE !== 0) return;
+    const bytes = encode().length * MESSAGES_PER_BYTE_SAMPLE;
     this.#options.metrics.count("control_bytes", undefined, bytes);
   }
 
-  #digests(): ReturnType<typeof digestToWire>[] {
+  #sampleDigests(): ReturnType<typeof digestToWire>[] {
     const { clock, random } = this.#options;
     return digestsToSend(this.#members, clock.now(), {
       count: DIGESTS_PER_MESSAGE,
@@ -405,7 +430,7 @@
     }).map(digestToWire);
   }
 
-  #hear(
+  #receive(
     wires: Parameters<typeof digestsFromWire>[0],
     marks: Parameters<typeof marksFromWire>[0],
   ): void {
@@ -417,7 +442,7 @@
     const merged = mergeDigests(this.#members, digests, clock.now());
     this.#members = merged.members;
     merged.replaced.forEach((host) => this.#proveGone(host));
-    listener.heard(digests);
+    listener.received(digests);
     this.mark(marksFromWire(marks));
   }
 
@@ -428,7 +453,7 @@
     this.#options.listener.gone(host);
   }
 
-  #suspect(now: number): void {
+  #suspectSilentMembers(now: number): void {
     const { heartbeatMilliseconds, heartbeatPeers, suspectMilliseconds } =
       this.#options;
     const partners = new Set(this.#options.listener.partners());
@@ -447,19 +472,22 @@
     });
   }
 
-  #forget(now: number): void {
+  #forgetSilentMembers(now: number): void {
     const { suspectMilliseconds, listener } = this.#options;
-    const kept = forgetSilent(this.#members, now, {
-      afterMilliseconds: suspectMilliseconds * FORGET_FACTOR,
+    const remaining = forgetSilent(this.#members, now, {
+      afterMilliseconds: suspectMilliseconds * FORGET_SUSPICION_FACTOR,
     });
     [...this.#members.keys()]
-      .filter((host) => !kept.has(host))
+      .filter((host) => !remaining.has(host))
       .forEach((host) => listener.gone(host));
-    this.#members = kept;
+    this.#members = remaining;
   }
 
-  /** Peers to look for while few are known: from settings and the store. */
-  async #seeds(
+  /**
+   * Finds addresses of peers, from the settings and the store, that are not
+   * known as unsuspected members. Searches rarely once any peer is known.
+   */
+  async #findPeers(
     now: number,
   ): Promise<readonly { readonly id: undefined; readonly address: string }[]> {
     const { seeds, store, random } = this.#options;
@@ -472,10 +500,12 @@
     const missing = seeds
       .filter(({ name, address }) => name !== self.name && !known.has(address))
       .map(({ address }) => address);
-    const wait =
-      SEED_RETRY_MILLISECONDS * (known.size === 0 ? 1 : SEED_RETRY_FACTOR);
-    if (now - this.#seedAt < jitter(random, wait)) return [];
-    this.#seedAt = now;
+    const retryMilliseconds =
+      SEED_RETRY_MILLISECONDS *
+      (known.size === 0 ? 1 : CONNECTED_SEED_RETRY_FACTOR);
+    if (now - this.#peersSoughtAt < jitter(random, retryMilliseconds))
+      return [];
+    this.#peersSoughtAt = now;
     const list = await store.list(HOST_PREFIX);
     const listed = list.isErr
       ? []
@@ -493,9 +523,9 @@
   }
 
   async #pollPlatform(): Promise<void> {
-    if (!asksPlatform(this.#options.self(), this.placementHosts)) return;
-    const news = await this.#platform.poll([...this.#members.values()]);
-    news.gone.forEach(({ digest }) => this.#proveGone(digest.host.id));
-    this.mark(news.leaving);
+    if (!isPlatformPoller(this.#options.self(), this.placementHosts)) return;
+    const update = await this.#platform.poll([...this.#members.values()]);
+    update.gone.forEach(({ digest }) => this.#proveGone(digest.host.id));
+    this.mark(update.leaving);
   }
 }
--- a/packages/rampswitch-entry/src/membership/mod.ts
+++ b/packages/rampswitch-entry/src/membership/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The other hosts, and what the platform tells of hosts.
+ * The membership of the entry hosts, and the platform's reports on hosts.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/membership/platform_clients.ts
+++ b/packages/rampswitch-entry/src/membership/platform_clients.ts
@@ -9,11 +9,11 @@
 import { request } from "undici";
 import type { ListedHost } from "rampswitch-types";
 
-/** A notice that a host will be taken. */
+/** A notice from the cloud that a host will be reclaimed. */
 export interface ReclaimNotice {
   readonly sequence: number;
   readonly host: string;
-  /** Milliseconds since the epoch. */
+  /** Time of the reclaim, in milliseconds since the Unix epoch. */
   readonly deadline: number;
 }
 
@@ -22,37 +22,45 @@
   readonly host: string;
   readonly hostClass: string;
   readonly dataHall: string;
-  /** Chosen by whoever started it. */
+  /** Token that the caller passed to {@link CloudClient.start}. */
   readonly token: string;
-  /** IP number and port of its backend server, once it serves. */
+  /** IP address and port of its backend server; absent until it serves. */
   readonly address?: string;
 }
 
-/** The platform's list of live and leaving hosts; it lags. */
+/**
+ * Reads the platform's list of running and leaving hosts. The list lags behind
+ * the actual state of the hosts.
+ */
 export interface HostListClient {
   hosts(): Promise<Result<readonly ListedHost[], string>>;
 }
 
-/** The cloud API: reclaim notices, starts and ends of hosts. */
+/** Reads reclaim notices and starts and ends hosts through the cloud API. */
 export interface CloudClient {
+  /** Reads the notices with a sequence number above `after`. */
   notices(after: number): Promise<Result<readonly ReclaimNotice[], string>>;
-  /** Starts a host; a repeat of the same token starts nothing more. */
+  /**
+   * Starts a host and returns its name. A repeated call with the same token
+   * starts no further host.
+   */
   start(
     hostClass: string,
     dataHall: string,
     options: { readonly token: string },
   ): Promise<Result<string, "refused" | "unavailable">>;
+  /** Ends a host. */
   end(host: string): Promise<Result<void, string>>;
-  /** Hosts that were started and not ended. */
+  /** Lists the hosts that were started and have not been ended. */
   hosts(): Promise<Result<readonly CloudHost[], string>>;
 }
 
-const CALL_MILLISECONDS = 1_000;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
 async function getJson(url: string): Promise<Result<unknown, string>> {
   try {
     const answer = await request(url, {
-      signal: AbortSignal.timeout(CALL_MILLISECONDS),
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
     });
     const body = await answer.body.json();
     return answer.statusCode === 200
@@ -63,7 +71,7 @@
   }
 }
 
-/** Reads the host list over HTTP. */
+/** Creates a client that reads the host list over HTTP. */
 export function httpHostList(address: string): HostListClient {
   return {
     hosts: async () =>
@@ -73,7 +81,7 @@
   };
 }
 
-/** Calls the cloud API over HTTP. */
+/** Creates a client that calls the cloud API over HTTP. */
 export function httpCloud(address: string): CloudClient {
   const base = `http://${address}`;
   return {
@@ -91,7 +99,7 @@
         const answer = await request(`${base}/hosts`, {
           method: "POST",
           body: JSON.stringify({ hostClass, dataHall, token }),
-          signal: AbortSignal.timeout(CALL_MILLISECONDS),
+          signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
         });
         const body = (await answer.body.json()) as { readonly host?: string };
         if (answer.statusCode === 200 && body.host !== undefined) {
@@ -108,7 +116,10 @@
       try {
         const answer = await request(
           `${base}/hosts/${encodeURIComponent(host)}`,
-          { method: "DELETE", signal: AbortSignal.timeout(CALL_MILLISECONDS) },
+          {
+            method: "DELETE",
+            signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
+          },
         );
         await answer.body.dump();
         return Result.ok(undefined);
--- a/packages/rampswitch-entry/src/membership/platform_watch.ts
+++ b/packages/rampswitch-entry/src/membership/platform_watch.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Asking the platform for its host list and for reclaim notices. Few hosts of
- * each data hall do it; what they learn travels by heartbeats.
+ * Polls the platform for its host list and for reclaim notices. Only a few
+ * hosts of each data hall poll; the others receive the results by heartbeats.
  *
  * @module
  */
@@ -14,23 +14,26 @@
 
 const POLLERS_PER_DATA_HALL = 2;
 
-/** What was learned in one round. */
-export interface PlatformNews {
+/** The changes that one poll of the platform found. */
+export interface PlatformUpdate {
   readonly leaving: readonly LeavingMark[];
-  /** Members whose hosts vanished from the list and that are silent. */
+  /** Silent members whose hosts are no longer in the list. */
   readonly gone: readonly Member[];
 }
 
-/** How the platform is watched. */
+/** Options of {@link PlatformWatch}. */
 export interface PlatformWatchOptions {
   readonly hostList: HostListClient;
   readonly cloud: CloudClient;
   readonly clock: Clock;
-  /** Silence after which a vanished name proves its process gone. */
+  /**
+   * Silence, in milliseconds, after which a name that is missing from the list
+   * proves that its process is gone.
+   */
   readonly silentMilliseconds: number;
 }
 
-/** Reads the platform's lists and tells what is news in them. */
+/** Reads the platform's host list and notices and reports what changed. */
 export class PlatformWatch {
   readonly #options: PlatformWatchOptions;
   #listedNames: ReadonlySet<string> = new Set();
@@ -40,8 +43,8 @@
     this.#options = options;
   }
 
-  /** Reads the list and the notices once. */
-  async poll(members: readonly Member[]): Promise<PlatformNews> {
+  /** Reads the host list and the new notices once. */
+  async poll(members: readonly Member[]): Promise<PlatformUpdate> {
     const { hostList, cloud, clock } = this.#options;
     const [hosts, notices] = await Promise.all([
       hostList.hosts(),
@@ -51,16 +54,16 @@
     const listed = hosts.isOk ? hosts.value : undefined;
     const gone =
       listed === undefined ? [] : this.#vanished(listed, members, now);
-    const fresh = notices.isOk ? notices.value : [];
-    this.#noticeSequence = fresh.reduce(
+    const newNotices = notices.isOk ? notices.value : [];
+    this.#noticeSequence = newNotices.reduce(
       (last, { sequence }) => Math.max(last, sequence),
       this.#noticeSequence,
     );
     return {
       gone,
       leaving: [
-        ...(listed ?? []).flatMap((host) => listedMark(host, now)),
-        ...fresh.map(({ host, deadline }): LeavingMark => ({
+        ...(listed ?? []).flatMap((host) => leavingMarks(host, now)),
+        ...newNotices.map(({ host, deadline }): LeavingMark => ({
           host,
           source: "cloud_notice",
           since: now,
@@ -70,7 +73,7 @@
     };
   }
 
-  /** Members that were listed once, are not now, and are silent. */
+  /** Silent members that were listed before and are no longer listed. */
   #vanished(
     listed: readonly ListedHost[],
     members: readonly Member[],
@@ -92,8 +95,8 @@
   }
 }
 
-/** Whether a host is one of the few of its data hall that ask the platform. */
-export function asksPlatform(
+/** Whether a host is one of the few of its data hall that poll the platform. */
+export function isPlatformPoller(
   self: Host,
   hosts: readonly PlacementHost[],
 ): boolean {
@@ -105,7 +108,7 @@
     .includes(self.name);
 }
 
-function listedMark(
+function leavingMarks(
   { name, state, deadline }: ListedHost,
   now: number,
 ): readonly LeavingMark[] {
--- a/packages/rampswitch-entry/src/mod.ts
+++ b/packages/rampswitch-entry/src/mod.ts
@@ -6,6 +6,6 @@
  * @module
  */
 export type { EntryAddresses } from "./intake/entry_listeners.ts";
-export type { EntrySurroundings } from "./entry_parts.ts";
+export type { EntryEnvironment } from "./entry_parts.ts";
 export * from "./entry_process.ts";
 export * from "./main.ts";
--- a/packages/rampswitch-entry/src/process_machine.ts
+++ b/packages/rampswitch-entry/src/process_machine.ts
@@ -39,7 +39,7 @@
 export type ProcessState = "starting" | "serving" | "draining" | "stopped";
 
 /** The life of this process. */
-export class ProcessLife {
+export class ProcessLifecycle {
   #snapshot: SnapshotFrom<typeof PROCESS_MACHINE>;
 
   constructor() {
