--- a/packages/rampswitch-entry/src/configuration/configuration_service.ts
+++ b/packages/rampswitch-entry/src/configuration/configuration_service.ts
@@ -1,9 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The configuration of one entry host: follows the revision log in the
- * platform's store, takes changes of operators, and passes news to peers. It
- * only ever moves to higher revisions.
+ * The configuration of one entry host. The service follows the revision log in
+ * the platform's store, applies changes of operators, and supplies updates to
+ * peers. The revision in force only increases.
  *
  * @module
  */
@@ -45,23 +45,27 @@
   sleep,
 } from "rampswitch-utils";
 
-/** A configuration that a peer sent. */
+/** A configuration update that one host sends to another. */
 export interface PeerConfiguration {
+  /** Revision that is in force at the sender. */
   readonly revision: number;
   readonly deltas: readonly Delta[];
-  /** The whole state; absent where the deltas suffice. */
+  /** Parts of a snapshot of the whole state; empty if the deltas suffice. */
   readonly stateParts: readonly string[];
-  /** Milliseconds since it was confirmed as the head; -1 for never. */
+  /**
+   * Milliseconds since the revision was confirmed as the head; -1 if it never
+   * was.
+   */
   readonly confirmedAge: number;
 }
 
-/** What the service tells its owner. */
+/** Callbacks of the configuration service. */
 export interface ConfigurationListener {
-  /** A higher revision is in force here. */
+  /** Called once a higher revision is in force on this host. */
   changed(state: ConfigurationState, deltas: readonly Delta[]): void;
 }
 
-/** How the service is made. */
+/** Options of {@link ConfigurationService}. */
 export interface ConfigurationServiceOptions {
   readonly store: ObjectStore;
   readonly clock: Clock;
@@ -69,8 +73,12 @@
   readonly metrics: Metrics;
   readonly logger: Logger;
   readonly listener: ConfigurationListener;
-  /** Longest age of a confirmation before the host reads the head itself. */
+  /**
+   * Maximum age of a confirmation, in milliseconds, before the host reads the
+   * head itself.
+   */
   readonly confirmMilliseconds: number;
+  /** Returns the pause between watch calls to the store, in milliseconds. */
   readonly watchPause: () => number;
 }
 
@@ -79,7 +87,7 @@
 const SNAPSHOT_ATTEMPTS = 5;
 const CONFIRM_TIMEOUT_MILLISECONDS = 1_000;
 
-/** The configuration as one host has it. */
+/** Holds the configuration that is in force on one host. */
 export class ConfigurationService implements AsyncDisposable {
   readonly #options: ConfigurationServiceOptions;
   readonly #owned = new Ownership();
@@ -95,22 +103,22 @@
     this.#options = options;
   }
 
-  /** The state in force here. */
+  /** The state that is in force on this host. */
   get state(): ConfigurationState {
     return this.#state;
   }
 
-  /** The routes of the state in force. */
+  /** The routing table of the state in force. */
   get routing(): RoutingTable {
     return this.#routing;
   }
 
-  /** When the revision was last confirmed as the head, by anybody. */
+  /** When this host or a peer last confirmed the revision as the head. */
   get confirmedAt(): number | undefined {
     return this.#confirmedAt;
   }
 
-  /** Whether the store answered lately. */
+  /** Whether the store answered recently. */
   get reachesStore(): boolean {
     return (
       this.#reachedStoreAt !== undefined &&
@@ -124,7 +132,7 @@
     return this.#inForceSince.get(revision);
   }
 
-  /** Starts to follow the log. */
+  /** Starts to follow the revision log. */
   start(): void {
     const { store, clock, random, watchPause, confirmMilliseconds } =
       this.#options;
@@ -152,7 +160,11 @@
       .hurry();
   }
 
-  /** Takes a change of an operator. */
+  /**
+   * Applies a change of an operator to the head. After a conflict the change is
+   * evaluated again on the newer head. The outcome is `unknown` if no attempt
+   * was settled.
+   */
   async change(request: ChangeRequest): Promise<ChangeOutcome> {
     const { store, clock, random, metrics } = this.#options;
     let head: StoredObject | undefined;
@@ -197,7 +209,10 @@
     return { kind: "unknown", changeId: request.changeId };
   }
 
-  /** Takes in what a peer sent; tells whether a gap was left. */
+  /**
+   * Adopts the update of a peer. Returns whether this host is still behind the
+   * peer's revision, because the update left a gap.
+   */
   takeFromPeer(sent: PeerConfiguration): boolean {
     if (sent.revision < this.#state.revision) {
       this.#options.metrics.count("drop", "old_revision");
@@ -214,14 +229,20 @@
     return false;
   }
 
-  /** Notes that a peer knows a revision to have been the head. */
+  /**
+   * Records that a revision was confirmed as the head at a peer `age`
+   * milliseconds ago.
+   */
   confirmedByPeer(revision: number, age: number): void {
     if (age < 0 || revision !== this.#state.revision) return;
     const at = this.#options.clock.now() - age;
     this.#confirmedAt = Math.max(this.#confirmedAt ?? at, at);
   }
 
-  /** What a peer at a revision needs to catch up. */
+  /**
+   * Creates the update that a peer at a revision needs to catch up: the deltas
+   * since then, or the whole state if not all of them are retained.
+   */
   forPeer(afterRevision: number): PeerConfiguration {
     const { clock } = this.#options;
     const deltas = this.#deltas.filter(
@@ -242,7 +263,7 @@
     await this.#owned[Symbol.asyncDispose]();
   }
 
-  /** Reads the head unless somebody confirmed it lately. */
+  /** Reads the head unless it was confirmed recently. */
   async #confirm(): Promise<void> {
     const { clock, confirmMilliseconds } = this.#options;
     const age = clock.now() - (this.#confirmedAt ?? 0);
@@ -252,7 +273,10 @@
     else await this.#checkHead(this.#head);
   }
 
-  /** Asks whether the head is still the known one; costs few bytes. */
+  /**
+   * Checks whether the known head is still current. A watch from its version is
+   * used because it transfers few bytes.
+   */
   async #checkHead(head: StoredObject): Promise<void> {
     const { store, clock } = this.#options;
     const requestedAt = clock.now();
@@ -274,7 +298,7 @@
     } else if (head === this.#head) this.#confirmHead(head, requestedAt);
   }
 
-  /** Notes that the known head was still the head when it was asked for. */
+  /** Records that the known head was still current at the time of a request. */
   #confirmHead(head: StoredObject, requestedAt: number): void {
     if (parseHead(head.value).revision !== this.#state.revision) return;
     this.#confirmedAt = Math.max(this.#confirmedAt ?? requestedAt, requestedAt);
@@ -297,7 +321,7 @@
     this.#reachedStoreAt = Math.max(this.#reachedStoreAt ?? at, at);
   }
 
-  /** Moves to a head that was read; one older than known changes nothing. */
+  /** Adopts a head that was read, unless it is older than the known one. */
   async #adoptHead(object: StoredObject, requestedAt: number): Promise<void> {
     if (object.version < (this.#head?.version ?? 0)) return;
     this.#head = object;
@@ -308,7 +332,7 @@
     this.#confirmHead(object, requestedAt);
   }
 
-  /** The state at a head, by its deltas or by its snapshot. */
+  /** Builds the state at a head from its deltas or from its snapshot. */
   async #stateAt(
     object: StoredObject | undefined,
   ): Promise<ConfigurationState | undefined> {
@@ -362,7 +386,11 @@
     this.#options.listener.changed(next, newDeltas);
   }
 
-  /** Cuts a snapshot; whatever is cut off half way leaves only spare parts. */
+  /**
+   * Writes a snapshot once the head needs compaction. The head refers to the
+   * snapshot only after all parts are written, so a compaction that is
+   * interrupted leaves only unused parts.
+   */
   async #compact(object: StoredObject): Promise<void> {
     const { store, logger } = this.#options;
     const head = parseHead(object.value);
--- a/packages/rampswitch-entry/src/configuration/mod.ts
+++ b/packages/rampswitch-entry/src/configuration/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The configuration in force.
+ * The configuration that is in force on the host.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/duties/capacity_service.ts
+++ b/packages/rampswitch-entry/src/duties/capacity_service.ts
@@ -1,9 +1,10 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Capacity of a service under a lease: starts hosts through the cloud API, puts
- * them into the configuration once they have an address, drains and ends those
- * that can be spared. Only hosts that it started itself are ever ended.
+ * Manages the capacity of a service under a lease. It starts hosts through the
+ * cloud API, adds them to the configuration once they have an address, and
+ * drains and ends hosts that are no longer needed. It ends only hosts that it
+ * started itself.
  *
  * @module
  */
@@ -24,13 +25,13 @@
 import type { MembershipService } from "../membership/membership_service.ts";
 import type { CloudClient, CloudHost } from "../membership/platform_clients.ts";
 
-/** Label of backend servers that this service put into the configuration. */
+/** Label of backend servers that this service added to the configuration. */
 export const MANAGED_LABEL = "managed-by";
 
 /** Value of {@link MANAGED_LABEL}. */
 export const MANAGED_BY_CAPACITY = "capacity";
 
-/** How the service is made. */
+/** Options of {@link CapacityService}. */
 export interface CapacityServiceOptions {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -45,9 +46,10 @@
 const CONCURRENT_STARTS = 2;
 
 /**
- * How long a class is not asked for after a start that brought no host, in
- * milliseconds. The cloud runs out of a class for minutes; a call without an
- * answer tells nothing about the class, so the next round may ask again.
+ * Time in milliseconds before a host class is requested again after a failed
+ * start. A refusal means that the cloud has run out of the class, which lasts
+ * for minutes. A call without an answer says nothing about the class, so the
+ * next round may try again.
  */
 const RETRY_START_MILLISECONDS: Readonly<
   Record<"refused" | "unavailable", number>
@@ -56,7 +58,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const OPERATOR = "capacity";
 
-/** Capacity of one service on the host that holds its lease. */
+/** Manages the capacity of one service on the host that holds its lease. */
 export class CapacityService {
   readonly #service: Service;
   readonly #options: CapacityServiceOptions;
@@ -69,7 +71,10 @@
     this.#options = options;
   }
 
-  /** Runs one round under a lease. */
+  /**
+   * Runs one round under a lease. `holdsLease` is checked before each action,
+   * since the lease can be lost during the round.
+   */
   async round(lease: Lease, holdsLease: () => boolean): Promise<void> {
     const { cloud, clock, metrics, logger } = this.#options;
     const listed = await cloud.hosts();
@@ -148,7 +153,7 @@
     );
   }
 
-  /** Puts hosts that have got an address into the configuration. */
+  /** Adds started hosts that have an address to the configuration. */
   async #addStarted(
     started: readonly CloudHost[],
     lease: Lease,
@@ -177,7 +182,7 @@
     await this.#change(edits, lease);
   }
 
-  /** Gives a host no new work; it is ended once its work is done. */
+  /** Sets a host to draining: it gets no new work and is ended later. */
   async #drain(host: string, lease: Lease): Promise<void> {
     const server = this.#servers.find((other) => other.host === host);
     if (server === undefined) return;
@@ -185,7 +190,10 @@
     await this.#change([put({ ...server, draining: true })], lease);
   }
 
-  /** Ends managed hosts that have been draining for longer than any work. */
+  /**
+   * Ends managed hosts that have been draining for longer than the timeout of
+   * the service, so that no work can still be running there.
+   */
   async #endDrained(lease: Lease): Promise<void> {
     const { clock, cloud, metrics } = this.#options;
     const now = clock.now();
@@ -223,16 +231,17 @@
   }
 
   /**
-   * Tokens a second that are asked for: all requests in progress, each at the
-   * speed of a token. Not known while most peers are suspected: capacity then
-   * stays as it is.
+   * Demand in tokens per second: all requests in progress or waiting, each at
+   * the usual speed of one run. It is undefined while most peers are suspected,
+   * since their load is unknown; the capacity then stays unchanged.
    */
   #demand(): number | undefined {
     const { membership, directory, gate } = this.#options;
     const members = [...membership.members.values()];
     const suspected = members.filter((member) => member.suspected).length;
     if (suspected > membership.trusted.length) return undefined;
-    // Admission lets few long requests in at a time; what waits is demand too.
+    // Admission admits only a few long requests at a time, so waiting requests
+    // count as demand too.
     const own = this.#servers.reduce(
       (sum, { name }) => sum + directory.inProgress(name),
       gate.waiting(this.#service.name),
--- a/packages/rampswitch-entry/src/duties/control_service.ts
+++ b/packages/rampswitch-entry/src/duties/control_service.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Control under leases: orders to backend servers, by service and data hall,
- * and capacity, by service. Every host can do it; the lease says who does.
+ * Control duties under leases: orders to backend servers, with one lease for
+ * each service and data hall, and capacity, with one lease for each service.
+ * Every host can perform them; the holder of the lease does.
  *
  * @module
  */
@@ -29,7 +30,7 @@
 } from "./capacity_service.ts";
 import { LeaseKeeper } from "./lease_keeper.ts";
 
-/** How the service is made. */
+/** Options of {@link ControlService}. */
 export interface ControlOptions extends CapacityServiceOptions {
   readonly self: Host;
   readonly store: ObjectStore;
@@ -45,13 +46,14 @@
 const CONCURRENT_ORDERS = 2;
 const ORDER_TIMEOUT_MILLISECONDS = 3_000;
 
+/** A lease that this host contends for, and the orders done under it. */
 interface LeaseTenure {
   readonly keeper: LeaseKeeper;
   epoch: number;
   done: ReadonlySet<string>;
 }
 
-/** Control on one host. */
+/** Performs the control duties of one host. */
 export class ControlService implements AsyncDisposable {
   readonly #options: ControlOptions;
   readonly #owned = new Ownership();
@@ -64,7 +66,7 @@
     this.#client = this.#owned.own(new BackendClient());
   }
 
-  /** Starts the rounds. */
+  /** Starts the periodic rounds. */
   start(): this {
     const { clock, random } = this.#options;
     this.#owned.own(
@@ -91,7 +93,7 @@
     await Promise.all(models.map((service) => this.#capacityRound(service)));
   }
 
-  /** Orders to the servers of a service in this host's data hall. */
+  /** Sends due orders to the servers of a service in this host's data hall. */
   async #orderRound(service: Service): Promise<void> {
     const { self, configuration } = this.#options;
     const servers = configuration.routing
@@ -156,7 +158,7 @@
     return reply.value.statusCode === 200 ? "done" : "failed";
   }
 
-  /** Capacity of a service in all data halls. */
+  /** Manages the capacity of a service in all data halls. */
   async #capacityRound(service: Service): Promise<void> {
     const name = `capacity/${service.name}`;
     if (!this.#isLeaseCandidate(name, undefined)) return;
@@ -182,14 +184,17 @@
     return tenure;
   }
 
-  /** Begins a tenure: what a former holder ordered may not have arrived. */
+  /**
+   * Begins a tenure if the epoch changed. All orders are sent again, since those
+   * of a former holder may not have arrived.
+   */
   #beginTenure(tenure: LeaseTenure, lease: Lease): void {
     if (tenure.epoch === lease.epoch) return;
     tenure.epoch = lease.epoch;
     tenure.done = new Set();
   }
 
-  /** Whether this host is one of the few that ask for a lease. */
+  /** Whether this host is one of the few that contend for a lease. */
   #isLeaseCandidate(name: string, dataHall: string | undefined): boolean {
     const names = this.#options.membership.placementHosts
       .filter((host) => !host.leaving)
--- a/packages/rampswitch-entry/src/duties/lease_keeper.ts
+++ b/packages/rampswitch-entry/src/duties/lease_keeper.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Keeping a lease in the platform's store.
+ * Acquires and renews a lease in the platform's store.
  *
  * @module
  */
@@ -14,24 +14,24 @@
 import { changeObject, type ObjectStore } from "rampswitch-store";
 import type { Clock, Metrics, Random } from "rampswitch-utils";
 
-/** Prefix of all lease objects. */
+/** Key prefix of all lease objects. */
 export const LEASE_PREFIX = "leases/";
 
 const WRITE_ATTEMPTS = 3;
 
-/** How a keeper is made. */
+/** Options of {@link LeaseKeeper}. */
 export interface LeaseKeeperOptions {
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
-  /** Identity of this process; a later one is another holder. */
+  /** Identity of this process; a later process of the host differs. */
   readonly self: string;
   readonly clockSkewMilliseconds: number;
   readonly leaseMilliseconds: number;
 }
 
-/** Keeps one lease as long as it can. */
+/** Acquires one lease and renews it as long as possible. */
 export class LeaseKeeper {
   readonly #options: LeaseKeeperOptions;
   readonly #key: string;
@@ -43,12 +43,12 @@
     this.#key = `${LEASE_PREFIX}${name}`;
   }
 
-  /** The lease, while this host holds it. */
+  /** The lease, or undefined while this host does not hold it. */
   get held(): Lease | undefined {
     return holds(this.#lease, this.terms) ? this.#lease : undefined;
   }
 
-  /** The terms at this moment. */
+  /** The terms for a decision on the lease at the current time. */
   get terms(): LeaseTerms {
     const { self, clock, clockSkewMilliseconds, leaseMilliseconds } =
       this.#options;
@@ -60,7 +60,10 @@
     };
   }
 
-  /** Takes or renews the lease if its time has come. */
+  /**
+   * Acquires or renews the lease if that is due: a held lease after half of its
+   * duration, a lease of another holder once it can be taken.
+   */
   async acquireOrRenew(): Promise<Lease | undefined> {
     const { clock, random, store, metrics, leaseMilliseconds } = this.#options;
     const now = clock.now();
--- a/packages/rampswitch-entry/src/duties/mod.ts
+++ b/packages/rampswitch-entry/src/duties/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Work that one host does for all, under leases.
+ * Duties that one host performs for all hosts under leases.
  *
  * @module
  */
