--- a/packages/rampswitch-entry/src/configuration/configuration_service.ts
+++ b/packages/rampswitch-entry/src/configuration/configuration_service.ts
@@ -218,11 +218,11 @@
       this.#options.metrics.count("drop", "old_revision");
       return false;
     }
-    const snapshot =
+    const snapshotState =
       sent.stateParts.length > 0
         ? readSnapshot(sent.revision, sent.stateParts)
         : undefined;
-    const next = snapshot ?? applyDeltas(this.#state, sent.deltas);
+    const next = snapshotState ?? applyDeltas(this.#state, sent.deltas);
     this.#adopt(next, sent.deltas);
     if (this.#state.revision < sent.revision) return true;
     this.confirmedByPeer(sent.revision, sent.confirmedAge);
@@ -409,10 +409,10 @@
       revision: state.revision,
       parts: parts.length,
     });
-    const replaced = await store.put(HEAD_KEY, JSON.stringify(next), {
+    const headWritten = await store.put(HEAD_KEY, JSON.stringify(next), {
       expected: object.version,
     });
-    if (replaced.isErr) return;
+    if (headWritten.isErr) return;
     logger.info("snapshot cut", { revision: state.revision });
     await this.#removeObsolete(next);
   }
--- a/packages/rampswitch-entry/src/duties/capacity_service.ts
+++ b/packages/rampswitch-entry/src/duties/capacity_service.ts
@@ -137,8 +137,8 @@
       context.index,
     ].join("/");
     const started = await cloud.start(hostClass, dataHall, { token });
-    const outcome = started.isOk ? "started" : started.error;
-    metrics.count("host_start", outcome);
+    const startResult = started.isOk ? "started" : started.error;
+    metrics.count("host_start", startResult);
     if (started.isOk) return;
     this.#options.logger.warn("host not started", {
       service: this.#service.name,
--- a/packages/rampswitch-entry/src/entry_parts.ts
+++ b/packages/rampswitch-entry/src/entry_parts.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The parts of one entry process, put together but not started.
+ * Creates and connects the parts of one entry process, without starting them.
  *
  * @module
  */
@@ -42,25 +42,25 @@
 import { RetryDecider } from "./admission/retry_decider.ts";
 import { SlotService } from "./replication/slot_service.ts";
 
-/** What an entry process is made of besides its settings. */
+/** What an entry process needs besides its settings. */
 export interface EntryEnvironment {
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** What the parts tell the process. */
+/** Callbacks from the parts to the process. */
 export interface PartsListener {
-  /** A higher revision is in force here. */
+  /** Called once a higher revision is in force on this host. */
   changed(state: ConfigurationState, deltas: readonly Delta[]): void;
-  /** Digests of peers were heard. */
+  /** Called with digests that were received from peers. */
   received(digests: readonly HostDigest[]): void;
-  /** Hosts were found to be leaving. */
+  /** Called with marks of hosts that were newly found to be leaving. */
   leaving(marks: readonly LeavingMark[]): void;
-  /** This host has become the primary of a slot. */
+  /** Called when this host has become the primary of a slot. */
   takenOver(): void;
 }
 
-/** Calls a second of all hosts together, shared out by their number. */
+/** Store calls per second of all hosts together, divided evenly among them. */
 const STORE_CALLS_PER_SECOND = 1_500;
 const MINIMUM_STORE_CALLS_PER_SECOND = 5;
 const MAXIMUM_STORE_CALLS_PER_SECOND = 50;
@@ -68,7 +68,7 @@
 const WATCH_PAUSE_PER_HOST_MILLISECONDS = 5;
 const INCARNATION_DIGITS = 8;
 
-/** The parts of one entry process. */
+/** Holds the parts of one entry process. */
 export class EntryParts implements AsyncDisposable {
   readonly #owned = new Ownership();
   readonly #listener: PartsListener;
@@ -94,7 +94,7 @@
   readonly chat: ChatRunner;
   readonly plain: PlainRunner;
   readonly gate: AdmissionGate;
-  /** This host; its addresses are right once the process listens. */
+  /** This host; its addresses are valid once the process listens. */
   self: Host;
 
   constructor(
@@ -132,12 +132,12 @@
     });
   }
 
-  /** Requests in progress on this host. */
+  /** Number of requests in progress on this host. */
   get working(): number {
     return this.chat.running + this.plain.running;
   }
 
-  /** Starts all parts that follow the platform and the peers. */
+  /** Starts all parts that run in the background. */
   start(): void {
     this.#started = true;
     this.configuration.start();
@@ -313,7 +313,7 @@
     });
   }
 
-  /** This host's part of the calls that the store takes. */
+  /** This host's share of the permitted store calls, within its bounds. */
   #storeCallsPerSecond(): number {
     const hosts = (this.#started ? this.membership.members.size : 0) + 1;
     const share = STORE_CALLS_PER_SECOND / hosts;
@@ -323,6 +323,10 @@
     );
   }
 
+  /**
+   * Pause between watch calls in milliseconds; it grows with the number of hosts
+   * to bound the load of all hosts on the store.
+   */
   #watchPause(): number {
     return WATCH_PAUSE_PER_HOST_MILLISECONDS * this.membership.members.size;
   }
--- a/packages/rampswitch-entry/src/entry_process.ts
+++ b/packages/rampswitch-entry/src/entry_process.ts
@@ -1,8 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The life of one entry process: it starts its parts, serves, and stops without
- * cutting off a request.
+ * The lifecycle of one entry process: it starts its parts, serves requests, and
+ * drains running requests before it stops.
  *
  * @module
  */
@@ -69,24 +69,24 @@
     return entry;
   }
 
-  /** Counters of the process. */
+  /** Metrics of the process. */
   get metrics(): Metrics {
     return this.#parts.metrics;
   }
 
-  /** Where the process listens. */
+  /** Addresses on which the process listens; empty before it does. */
   get addresses(): EntryAddresses {
     return this.#addresses ?? { callers: "", peers: "", administration: "" };
   }
 
-  /** Whether the balancer should send callers here. */
+  /** Whether the load balancer should send callers to this host. */
   get ready(): boolean {
     return (
       this.#lifecycle.state === "serving" && TAKES_NEW_WORK[this.freshness]
     );
   }
 
-  /** Freshness of the configuration here. */
+  /** Freshness of the configuration on this host. */
   get freshness(): Freshness {
     const { membership, configuration, clock, settings } = this.#parts;
     const { freshnessMilliseconds, minorityServes } = settings.membership;
@@ -117,11 +117,12 @@
   }
 
   /**
-   * Stops as planned: readiness falls, slots are handed over, running work
-   * ends. Requests that come meanwhile are still served, here or elsewhere.
+   * Stops the process gracefully: it reports itself as not ready, hands over its
+   * slots, and waits for running work. Requests that arrive meanwhile are still
+   * served, on this host or on another.
    */
   stop(): Promise<void> {
-    // A second order must not end before what the first one waits for.
+    // A second call must not resolve before the stop that the first one began.
     this.#stopped ??= this.#stop();
     return this.#stopped;
   }
@@ -195,7 +196,7 @@
       .start();
   }
 
-  /** Begins to serve once the configuration and the slot table are known. */
+  /** Starts to serve once the configuration and the slot table are known. */
   async #prepare(): Promise<void> {
     const { clock, slots, logger, configuration } = this.#parts;
     while (this.freshness === "never" || !slots.ready) {
@@ -206,7 +207,7 @@
     logger.info("ready", { revision: configuration.state.revision });
   }
 
-  /** Hands slots over and waits for running work, until a time at most. */
+  /** Hands over slots and waits for running work, at most until `deadline`. */
   async #drain(deadline: number): Promise<void> {
     const { clock, slots, membership } = this.#parts;
     const idleAfter = clock.now() + DRAIN_GRACE_MILLISECONDS;
--- a/packages/rampswitch-entry/src/main.ts
+++ b/packages/rampswitch-entry/src/main.ts
@@ -1,7 +1,8 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The program `rampswitchd`: reads settings and runs one entry process.
+ * The program `rampswitchd`, which reads its settings and runs one entry
+ * process.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 
 const EXIT_SETTINGS = 2;
 
-/** Runs the program with its arguments. */
+/** Runs the program with the given command-line arguments. */
 export async function main(args: readonly string[]): Promise<void> {
   const program = new Command("rampswitchd")
     .description("Entry process of rampswitch")
--- a/packages/rampswitch-entry/src/membership/membership_service.ts
+++ b/packages/rampswitch-entry/src/membership/membership_service.ts
@@ -144,9 +144,9 @@
     readonly starts: ReadonlyMap<string, number>;
   } = { members: undefined, starts: new Map() };
   #placement: {
-    readonly key: string;
+    readonly placementKey: string;
     readonly hosts: readonly PlacementHost[];
-  } = { key: "", hosts: [] };
+  } = { placementKey: "", hosts: [] };
   #messages = 0;
   #heartbeat = 0;
   #leaving = false;
@@ -206,8 +206,11 @@
         leaving: digest.leaving,
       })),
     ];
-    const key = hosts.map(({ id, leaving }) => `${id} ${leaving}`).join();
-    if (key !== this.#placement.key) this.#placement = { key: key, hosts };
+    const placementKey = hosts
+      .map(({ id, leaving }) => `${id} ${leaving}`)
+      .join();
+    if (placementKey !== this.#placement.placementKey)
+      this.#placement = { placementKey: placementKey, hosts };
     return this.#placement.hosts;
   }
 
--- a/packages/rampswitch-entry/src/mod.ts
+++ b/packages/rampswitch-entry/src/mod.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The entry process.
+ * The entry process of rampswitch.
  *
  * @module
  */
--- a/packages/rampswitch-entry/src/process_machine.ts
+++ b/packages/rampswitch-entry/src/process_machine.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The life of an entry process, as a state machine.
+ * The lifecycle of an entry process as a state machine.
  *
  * @module
  */
@@ -12,16 +12,16 @@
   transition,
 } from "xstate";
 
-/** What happens to an entry process. */
+/** Events in the lifecycle of an entry process. */
 export type ProcessEvent =
-  /** Configuration and slot table are known. */
+  /** The configuration and the slot table are known. */
   | { readonly type: "prepared" }
   /** A planned stop, or a reclaim of the host, was announced. */
   | { readonly type: "stop" }
-  /** All work has ended, or the time for it is over. */
+  /** All work has ended, or its time limit has passed. */
   | { readonly type: "finished" };
 
-/** The machine of an entry process. */
+/** State machine of an entry process. */
 export const PROCESS_MACHINE = setup({
   types: { events: {} as ProcessEvent },
 }).createMachine({
@@ -38,7 +38,7 @@
 /** States of {@link PROCESS_MACHINE}. */
 export type ProcessState = "starting" | "serving" | "draining" | "stopped";
 
-/** The life of this process. */
+/** Tracks the lifecycle state of one process. */
 export class ProcessLifecycle {
   #snapshot: SnapshotFrom<typeof PROCESS_MACHINE>;
 
@@ -46,12 +46,12 @@
     [this.#snapshot] = initialTransition(PROCESS_MACHINE);
   }
 
-  /** The state at the last event. */
+  /** The state after the last event. */
   get state(): ProcessState {
     return this.#snapshot.value;
   }
 
-  /** Takes in an event; tells whether the state changed. */
+  /** Handles an event and returns whether the state changed. */
   handle(event: ProcessEvent): boolean {
     const before = this.state;
     [this.#snapshot] = transition(PROCESS_MACHINE, this.#snapshot, event);
