--- a/packages/rampswitch-entry/src/configuration/configuration_service.ts
+++ b/packages/rampswitch-entry/src/configuration/configuration_service.ts
@@ -78,7 +78,7 @@
    * head itself.
    */
   readonly confirmMilliseconds: number;
-  /** Returns the pause between watch calls to the store, in milliseconds. */
+  /** Returns the pause after each watch call to the store, in milliseconds. */
   readonly watchPause: () => number;
 }
 
--- a/packages/rampswitch-entry/src/duties/capacity_service.ts
+++ b/packages/rampswitch-entry/src/duties/capacity_service.ts
@@ -182,7 +182,10 @@
     await this.#change(edits, lease);
   }
 
-  /** Sets a host to draining: it gets no new work and is ended later. */
+  /**
+   * Sets a host to draining, so that it gets no new work. It is ended once its
+   * work is done.
+   */
   async #drain(host: string, lease: Lease): Promise<void> {
     const server = this.#servers.find((other) => other.host === host);
     if (server === undefined) return;
@@ -232,8 +235,8 @@
 
   /**
    * Demand in tokens per second: all requests in progress or waiting, each at
-   * the usual speed of one run. It is undefined while most peers are suspected,
-   * since their load is unknown; the capacity then stays unchanged.
+   * the usual speed of one run. It is unknown, hence undefined,
+   * while most peers are suspected; the capacity then stays unchanged.
    */
   #demand(): number | undefined {
     const { membership, directory, gate } = this.#options;
--- a/packages/rampswitch-entry/src/entry_parts.ts
+++ b/packages/rampswitch-entry/src/entry_parts.ts
@@ -323,10 +323,7 @@
     );
   }
 
-  /**
-   * Pause between watch calls in milliseconds; it grows with the number of hosts
-   * to bound the load of all hosts on the store.
-   */
+  /** Pause after each watch call in milliseconds; grows with the member count. */
   #watchPause(): number {
     return WATCH_PAUSE_PER_HOST_MILLISECONDS * this.membership.members.size;
   }
--- a/packages/rampswitch-entry/src/entry_process.ts
+++ b/packages/rampswitch-entry/src/entry_process.ts
@@ -2,7 +2,7 @@
 
 /**
  * The lifecycle of one entry process: it starts its parts, serves requests, and
- * drains running requests before it stops.
+ * lets running requests finish before it stops.
  *
  * @module
  */
