--- a/packages/rampswitch-entry/src/duties/capacity_service.ts
+++ b/packages/rampswitch-entry/src/duties/capacity_service.ts
@@ -235,8 +235,8 @@
 
   /**
    * Demand in tokens per second: all requests in progress or waiting, each at
-   * the usual speed of one run. It is unknown, hence undefined,
-   * while most peers are suspected; the capacity then stays unchanged.
+   * the usual speed of one run. It is unknown, hence undefined, while most peers
+   * are suspected; the capacity then stays unchanged.
    */
   #demand(): number | undefined {
     const { membership, directory, gate } = this.#options;
