--- a/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
@@ -154,7 +154,7 @@
     self: SELF,
     mode: "batch",
     links,
-    book,
+    answerCache: book,
     clock,
     metrics,
     holders: () => [],
--- a/packages/rampswitch-entry/src/duties/control_service.ts
+++ b/packages/rampswitch-entry/src/duties/control_service.ts
@@ -1,8 +1,9 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * Control under leases: orders to backend servers, by service and data hall,
- * and capacity, by service. Every host can do it; the lease says who does.
+ * Control duties under leases: orders to backend servers, with one lease for
+ * each service and data hall, and capacity, with one lease for each service.
+ * Every host can perform them; the holder of the lease does.
  *
  * @module
  */
@@ -29,7 +30,7 @@
 } from "./capacity_service.ts";
 import { LeaseKeeper } from "./lease_keeper.ts";
 
-/** How the service is made. */
+/** Options of {@link ControlService}. */
 export interface ControlOptions extends CapacityServiceOptions {
   readonly self: Host;
   readonly store: ObjectStore;
@@ -40,23 +41,24 @@
   readonly startsHosts: boolean;
 }
 
-const ROUND_MILLISECONDS = 2_000;
-const CONTENDERS = 2;
-const ORDERS_AT_ONCE = 2;
-const ORDER_MILLISECONDS = 3_000;
+const ROUND_INTERVAL_MILLISECONDS = 2_000;
+const LEASE_CANDIDATES = 2;
+const CONCURRENT_ORDERS = 2;
+const ORDER_TIMEOUT_MILLISECONDS = 3_000;
 
-interface Territory {
+/** A lease that this host contends for, and the orders done under it. */
+interface LeaseTenure {
   readonly keeper: LeaseKeeper;
   epoch: number;
   done: ReadonlySet<string>;
 }
 
-/** Control on one host. */
+/** Performs the control duties of one host. */
 export class ControlService implements AsyncDisposable {
   readonly #options: ControlOptions;
   readonly #owned = new Ownership();
   readonly #client: BackendClient;
-  readonly #territories = new Map<string, Territory>();
+  readonly #tenures = new Map<string, LeaseTenure>();
   readonly #capacity = new Map<string, CapacityService>();
 
   constructor(options: ControlOptions) {
@@ -64,13 +66,13 @@
     this.#client = this.#owned.own(new BackendClient());
   }
 
-  /** Starts the rounds. */
+  /** Starts the periodic rounds. */
   start(): this {
     const { clock, random } = this.#options;
     this.#owned.own(
       repeat(
         clock,
-        () => jitter(random, ROUND_MILLISECONDS),
+        () => jitter(random, ROUND_INTERVAL_MILLISECONDS),
         () => this.#round(),
       ),
     );
@@ -91,7 +93,7 @@
     await Promise.all(models.map((service) => this.#capacityRound(service)));
   }
 
-  /** Orders to the servers of a service in this host's data hall. */
+  /** Sends due orders to the servers of a service in this host's data hall. */
   async #orderRound(service: Service): Promise<void> {
     const { self, configuration } = this.#options;
     const servers = configuration.routing
@@ -103,25 +105,26 @@
       maximumOrders: 1,
     });
     const name = `orders/${service.name}/${self.dataHall}`;
-    if (wanted.length === 0 || !this.#contends(name, self.dataHall)) return;
-    const territory = this.#territory(name);
-    const lease = await territory.keeper.keep();
+    if (wanted.length === 0 || !this.#isLeaseCandidate(name, self.dataHall))
+      return;
+    const tenure = this.#tenureOf(name);
+    const lease = await tenure.keeper.acquireOrRenew();
     if (lease === undefined) return;
-    this.#enter(territory, lease);
+    this.#beginTenure(tenure, lease);
     const due = planOrders(service, servers, {
-      done: territory.done,
-      maximumOrders: ORDERS_AT_ONCE,
+      done: tenure.done,
+      maximumOrders: CONCURRENT_ORDERS,
     });
-    await Promise.all(due.map((order) => this.#order(territory, order)));
+    await Promise.all(due.map((order) => this.#order(tenure, order)));
   }
 
-  async #order(territory: Territory, due: DueOrder): Promise<void> {
+  async #order(tenure: LeaseTenure, due: DueOrder): Promise<void> {
     const { metrics, self } = this.#options;
-    const lease = territory.keeper.held;
+    const lease = tenure.keeper.held;
     if (lease === undefined) return;
     const decision = decideOrder(due.kind, lease, {
       contract: due.server.contract,
-      terms: territory.keeper.terms,
+      terms: tenure.keeper.terms,
     });
     metrics.count("order", decision.kind);
     if (decision.kind !== "send") return;
@@ -133,7 +136,7 @@
     });
     metrics.count("order_answer", answer);
     if (answer === "done") {
-      territory.done = new Set([...territory.done, orderKey(due)]);
+      tenure.done = new Set([...tenure.done, orderKey(due)]);
     }
   }
 
@@ -146,8 +149,8 @@
       path: "/v1/orders",
       headers: { "content-type": "application/json" },
       body: Buffer.from(JSON.stringify(order)),
-      timeoutMilliseconds: ORDER_MILLISECONDS,
-      signal: AbortSignal.timeout(ORDER_MILLISECONDS),
+      timeoutMilliseconds: ORDER_TIMEOUT_MILLISECONDS,
+      signal: AbortSignal.timeout(ORDER_TIMEOUT_MILLISECONDS),
     });
     if (reply.isErr) return "failed";
     await reply.value.body.dump().catch(() => undefined);
@@ -155,12 +158,12 @@
     return reply.value.statusCode === 200 ? "done" : "failed";
   }
 
-  /** Capacity of a service in all data halls. */
+  /** Manages the capacity of a service in all data halls. */
   async #capacityRound(service: Service): Promise<void> {
     const name = `capacity/${service.name}`;
-    if (!this.#contends(name, undefined)) return;
-    const { keeper } = this.#territory(name);
-    const lease = await keeper.keep();
+    if (!this.#isLeaseCandidate(name, undefined)) return;
+    const { keeper } = this.#tenureOf(name);
+    const lease = await keeper.acquireOrRenew();
     if (lease === undefined) return;
     const known = this.#capacity.get(service.name);
     const capacity = known ?? new CapacityService(service, this.#options);
@@ -168,34 +171,37 @@
     await capacity.round(lease, () => keeper.held !== undefined);
   }
 
-  #territory(name: string): Territory {
-    const known = this.#territories.get(name);
+  #tenureOf(name: string): LeaseTenure {
+    const known = this.#tenures.get(name);
     if (known !== undefined) return known;
     const { self } = this.#options;
-    const territory = {
+    const tenure = {
       keeper: new LeaseKeeper(name, { ...this.#options, self: self.id }),
       epoch: 0,
       done: new Set<string>(),
     };
-    this.#territories.set(name, territory);
-    return territory;
+    this.#tenures.set(name, tenure);
+    return tenure;
   }
 
-  /** Begins a tenure: what a former holder ordered may not have arrived. */
-  #enter(territory: Territory, lease: Lease): void {
-    if (territory.epoch === lease.epoch) return;
-    territory.epoch = lease.epoch;
-    territory.done = new Set();
+  /**
+   * Begins a tenure if the epoch changed. All orders are sent again, since those
+   * of a former holder may not have arrived.
+   */
+  #beginTenure(tenure: LeaseTenure, lease: Lease): void {
+    if (tenure.epoch === lease.epoch) return;
+    tenure.epoch = lease.epoch;
+    tenure.done = new Set();
   }
 
-  /** Whether this host is one of the few that ask for a lease. */
-  #contends(name: string, dataHall: string | undefined): boolean {
+  /** Whether this host is one of the few that contend for a lease. */
+  #isLeaseCandidate(name: string, dataHall: string | undefined): boolean {
     const names = this.#options.membership.placementHosts
       .filter((host) => !host.leaving)
       .filter((host) => dataHall === undefined || host.dataHall === dataHall)
       .map((host) => host.name);
     return rendezvousOrder(name, names)
-      .slice(0, CONTENDERS)
+      .slice(0, LEASE_CANDIDATES)
       .includes(this.#options.self.name);
   }
 }
--- a/packages/rampswitch-entry/src/entry_parts.ts
+++ b/packages/rampswitch-entry/src/entry_parts.ts
@@ -1,7 +1,7 @@
 // Copyright 2026 the rampswitch authors. Apache-2.0 license.
 
 /**
- * The parts of one entry process, put together but not started.
+ * Creates and connects the parts of one entry process, without starting them.
  *
  * @module
  */
@@ -42,33 +42,33 @@
 import { RetryDecider } from "./admission/retry_decider.ts";
 import { SlotService } from "./replication/slot_service.ts";
 
-/** What an entry process is made of besides its settings. */
-export interface EntrySurroundings {
+/** What an entry process needs besides its settings. */
+export interface EntryEnvironment {
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** What the parts tell the process. */
+/** Callbacks from the parts to the process. */
 export interface PartsListener {
-  /** A higher revision is in force here. */
+  /** Called once a higher revision is in force on this host. */
   changed(state: ConfigurationState, deltas: readonly Delta[]): void;
-  /** Digests of peers were heard. */
-  heard(digests: readonly HostDigest[]): void;
-  /** Hosts were found to be leaving. */
-  leaving(news: readonly LeavingMark[]): void;
-  /** This host has become the primary of a slot. */
+  /** Called with digests that were received from peers. */
+  received(digests: readonly HostDigest[]): void;
+  /** Called with marks of hosts that were newly found to be leaving. */
+  leaving(marks: readonly LeavingMark[]): void;
+  /** Called when this host has become the primary of a slot. */
   takenOver(): void;
 }
 
-/** Calls a second of all hosts together, shared out by their number. */
+/** Store calls per second of all hosts together, divided evenly among them. */
 const STORE_CALLS_PER_SECOND = 1_500;
-const FEWEST_STORE_CALLS_PER_SECOND = 5;
-const MOST_STORE_CALLS_PER_SECOND = 50;
-const CONFIRM_MILLISECONDS = 1_500;
+const MINIMUM_STORE_CALLS_PER_SECOND = 5;
+const MAXIMUM_STORE_CALLS_PER_SECOND = 50;
+const HEAD_CONFIRMATION_MILLISECONDS = 1_500;
 const WATCH_PAUSE_PER_HOST_MILLISECONDS = 5;
 const INCARNATION_DIGITS = 8;
 
-/** The parts of one entry process. */
+/** Holds the parts of one entry process. */
 export class EntryParts implements AsyncDisposable {
   readonly #owned = new Ownership();
   readonly #listener: PartsListener;
@@ -94,18 +94,18 @@
   readonly chat: ChatRunner;
   readonly plain: PlainRunner;
   readonly gate: AdmissionGate;
-  /** This host; its addresses are right once the process listens. */
+  /** This host; its addresses are valid once the process listens. */
   self: Host;
 
   constructor(
     settings: Settings,
-    surroundings: EntrySurroundings,
+    environment: EntryEnvironment,
     listener: PartsListener,
   ) {
     this.#listener = listener;
     this.settings = settings;
-    this.clock = surroundings.clock;
-    this.logger = surroundings.logger;
+    this.clock = environment.clock;
+    this.logger = environment.logger;
     this.random = seededRandom(hash32(randomUUID()));
     this.self = ownHost(settings, this.clock.now());
     this.metrics = this.#owned.own(
@@ -114,7 +114,7 @@
     this.tokens = new PeerTokens(settings.peerSecret, settings.host.name);
     this.clients = new PeerClients(this.tokens, this.clock);
     this.store = this.#owned.own(this.#makeStore());
-    this.book = this.#makeBook();
+    this.book = this.#makeAnswerCache();
     this.links = this.#owned.own(this.#makeLinks());
     this.configuration = this.#owned.own(this.#makeConfiguration());
     this.slots = this.#owned.own(this.#makeSlots());
@@ -132,12 +132,12 @@
     });
   }
 
-  /** Requests in progress on this host. */
+  /** Number of requests in progress on this host. */
   get working(): number {
     return this.chat.running + this.plain.running;
   }
 
-  /** Starts all parts that follow the platform and the peers. */
+  /** Starts all parts that run in the background. */
   start(): void {
     this.#started = true;
     this.configuration.start();
@@ -174,7 +174,7 @@
     });
   }
 
-  #makeBook(): AnswerCache {
+  #makeAnswerCache(): AnswerCache {
     const { limits } = this.settings;
     return new AnswerCache(this.clock, this.metrics, {
       answerBytes: limits.answerBytes,
@@ -190,7 +190,7 @@
           const message = slotMessageFromWire(wire);
           if (message !== undefined) this.slots.receive(from, message);
         }),
-      failed: (host) => this.membership.unreachable(host),
+      failed: (host) => this.membership.markUnreachable(host),
       addressOf: (host) =>
         this.membership.isGone(host)
           ? undefined
@@ -209,7 +209,7 @@
     return new ConfigurationService({
       ...this.#shared,
       store: this.store,
-      confirmMilliseconds: CONFIRM_MILLISECONDS,
+      confirmMilliseconds: HEAD_CONFIRMATION_MILLISECONDS,
       watchPause: () => this.#watchPause(),
       listener: {
         changed: (state, deltas) => this.#listener.changed(state, deltas),
@@ -251,7 +251,7 @@
       self: this.self.id,
       mode: this.settings.slots.progress,
       links,
-      book,
+      answerCache: book,
       holders: (slot) => this.slots.holdersOf(slot),
       epochOf: (slot) => this.slots.epochOf(slot),
     });
@@ -265,7 +265,7 @@
       hostNames: () => this.membership.placementHosts.map(({ name }) => name),
       selfName: this.self.name,
       onLeaving: (server) =>
-        this.membership.mark([
+        this.membership.addLeavingMarks([
           {
             host: server.host,
             source: "backend_server",
@@ -305,24 +305,25 @@
         load: this.working + this.gate.counts.waiting,
       }),
       listener: {
-        heard: (digests) => this.#listener.heard(digests),
-        leaving: (news) => this.#listener.leaving(news),
+        received: (digests) => this.#listener.received(digests),
+        leaving: (marks) => this.#listener.leaving(marks),
         gone: (host) => this.links.forget(host),
         partners: () => this.slots.partners,
       },
     });
   }
 
-  /** This host's part of the calls that the store takes. */
+  /** This host's share of the permitted store calls, within its bounds. */
   #storeCallsPerSecond(): number {
     const hosts = (this.#started ? this.membership.members.size : 0) + 1;
     const share = STORE_CALLS_PER_SECOND / hosts;
     return Math.min(
-      MOST_STORE_CALLS_PER_SECOND,
-      Math.max(FEWEST_STORE_CALLS_PER_SECOND, share),
+      MAXIMUM_STORE_CALLS_PER_SECOND,
+      Math.max(MINIMUM_STORE_CALLS_PER_SECOND, share),
     );
   }
 
+  /** Pause after each watch call in milliseconds; grows with the member count. */
   #watchPause(): number {
     return WATCH_PAUSE_PER_HOST_MILLISECONDS * this.membership.members.size;
   }
--- a/packages/rampswitch-entry/src/outcome/retained_requests.ts
+++ b/packages/rampswitch-entry/src/outcome/retained_requests.ts
@@ -42,7 +42,7 @@
 import type { PrimaryForwarding } from "../replication/primary_forwarding.ts";
 import type { ProblemOutcome } from "../intake/problem.ts";
 import type { RequestReplication } from "../replication/request_replication.ts";
-import type { ClaimEnd, SlotService } from "../replication/slot_service.ts";
+import type { ClaimOutcome, SlotService } from "../replication/slot_service.ts";
 
 /** Options for serving requests whose answers are retained. */
 export interface RetainedRequestOptions extends ExchangeOptions {
@@ -112,14 +112,15 @@
       const key = `${caller.workspace.name}/${caller.key}`;
       const slot = slotOfKey(key, slots.count);
       const here = () => this.#serveKeyed(exchange, work, { slot, key });
-      await hop.run(exchange, { slot, body, here });
+      await hop.run(exchange, { slot, body, runHere: here });
       return;
     }
     const ownSlots = slots.primarySlots;
     const ownSlot = ownSlots[random.below(Math.max(1, ownSlots.length))];
     const slot = ownSlot ?? random.below(slots.count);
     const here = () => this.#start(exchange, work, { slot, key: undefined });
-    if (ownSlot === undefined) await hop.run(exchange, { slot, body, here });
+    if (ownSlot === undefined)
+      await hop.run(exchange, { slot, body, runHere: here });
     else await here();
   }
 
@@ -135,7 +136,7 @@
       await this.#options.primaryForwarding.run(exchange, {
         slot,
         body: undefined,
-        here,
+        runHere: here,
       });
     }
   }
@@ -150,7 +151,7 @@
     work: RetainedWork,
     slotKey: { readonly slot: number; readonly key: string },
   ): Promise<void> {
-    const verdict = this.#options.slots.judge(
+    const verdict = this.#options.slots.evaluate(
       slotKey.slot,
       keyRequest(exchange, work, slotKey.key),
     );
@@ -255,7 +256,7 @@
     return refusal;
   }
 
-  async #claim(slot: number, request: KeyRequest): Promise<ClaimEnd> {
+  async #claim(slot: number, request: KeyRequest): Promise<ClaimOutcome> {
     const { clock, slots, metrics } = this.#options;
     const started = clock.now();
     const cancel = clock.after(CLAIM_TIMEOUT_MILLISECONDS, () =>
@@ -386,7 +387,7 @@
 };
 
 const CLAIM_OUTCOMES: Readonly<
-  Record<Exclude<ClaimEnd, "execute">, ProblemOutcome>
+  Record<Exclude<ClaimOutcome, "execute">, ProblemOutcome>
 > = {
   in_doubt: TAKEN_OVER,
   withdrawn: refused(
--- a/packages/rampswitch-entry/src/replication/peer_handlers.ts
+++ b/packages/rampswitch-entry/src/replication/peer_handlers.ts
@@ -52,7 +52,7 @@
 export function peerHandlers(parts: PeerParts): PeerHandlers {
   const { configuration, membership } = parts;
   return {
-    heartbeat: (request) => membership.answer(request),
+    heartbeat: (request) => membership.answerHeartbeat(request),
     replicate: async function* (requests) {
       for await (const request of requests) {
         yield create(ReplicateResponseSchema, {
@@ -62,8 +62,8 @@
       }
     },
     announce: (request) => {
-      membership.mark(marksFromWire(request.leaving));
-      const gap = configuration.takeFromPeer({
+      membership.addLeavingMarks(marksFromWire(request.leaving));
+      const gap = configuration.adoptFromPeer({
         revision: Number(request.revision),
         deltas: request.deltas.map((delta) => JSON.parse(delta) as Delta),
         stateParts: [],
@@ -76,7 +76,7 @@
       });
     },
     fetchConfiguration: (request) => {
-      const sent = configuration.forPeer(Number(request.afterRevision));
+      const sent = configuration.updateForPeer(Number(request.afterRevision));
       return create(FetchConfigurationResponseSchema, {
         revision: BigInt(sent.revision),
         deltas: sent.deltas.map((delta) => JSON.stringify(delta)),
@@ -121,7 +121,7 @@
     ),
   );
   if (answer.isErr) return;
-  configuration.takeFromPeer({
+  configuration.adoptFromPeer({
     revision: Number(answer.value.revision),
     deltas: answer.value.deltas.map((delta) => JSON.parse(delta) as Delta),
     stateParts: answer.value.stateParts,
--- a/packages/rampswitch-entry/src/replication/primary_forwarding.ts
+++ b/packages/rampswitch-entry/src/replication/primary_forwarding.ts
@@ -39,7 +39,7 @@
   /** The request body, already read; `undefined` if there is none. */
   readonly body: Buffer | undefined;
   /** Runs the work at this host. */
-  readonly here: () => Promise<void>;
+  readonly runHere: () => Promise<void>;
 }
 
 const MAXIMUM_HOPS = 2;
@@ -65,7 +65,7 @@
     for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
       const primary = slots.primaryOf(work.slot);
       if (primary === self) {
-        await work.here();
+        await work.runHere();
         return;
       }
       if (exchange.response.destroyed) return;
--- a/packages/rampswitch-entry/src/replication/request_replication.ts
+++ b/packages/rampswitch-entry/src/replication/request_replication.ts
@@ -38,7 +38,7 @@
   readonly self: HostId;
   readonly mode: ProgressMode;
   readonly links: ReplicaLinks;
-  readonly book: AnswerCache;
+  readonly answerCache: AnswerCache;
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly holders: (slot: number) => readonly HostId[];
@@ -119,7 +119,7 @@
    * and its events so far.
    */
   teach(slot: number, host: HostId): void {
-    this.#options.book.all
+    this.#options.answerCache.all
       .filter((answer) => answer.envelope.slot === slot)
       .filter((answer) => this.#sentEvents.has(answer.envelope.id))
       .forEach((answer) => {
@@ -141,7 +141,7 @@
 
   /** Applies an entry from the peer that runs the request. */
   receive(from: HostId, { entry }: ReplicaEntry): void {
-    const { book } = this.#options;
+    const { answerCache: book } = this.#options;
     switch (entry.case) {
       case "opened": {
         const answer = book.open(envelopeFromWire(entry.value), from);
@@ -174,7 +174,7 @@
    * are counted and dropped.
    */
   #answerRunBy(from: HostId, id: string): Answer | undefined {
-    const answer = this.#options.book.byId(id);
+    const answer = this.#options.answerCache.byId(id);
     if (answer === undefined || answer.runner === from) return answer;
     this.#options.metrics.count("drop", "former_attempt");
     return undefined;
--- a/packages/rampswitch-entry/src/replication/slot_service.ts
+++ b/packages/rampswitch-entry/src/replication/slot_service.ts
@@ -35,7 +35,7 @@
 import { SlotTable } from "./slot_table.ts";
 
 /** How a claim of a key ended. Only `execute` permits the request to be sent. */
-export type ClaimEnd = "execute" | "in_doubt" | "withdrawn";
+export type ClaimOutcome = "execute" | "in_doubt" | "withdrawn";
 
 /** Callbacks from the service to its owner. */
 export interface SlotListener {
@@ -80,7 +80,7 @@
   readonly #owned = new Ownership();
   readonly #replicas: readonly SlotReplica[];
   readonly #table: SlotTable;
-  readonly #claims = new Map<string, (end: ClaimEnd) => void>();
+  readonly #claims = new Map<string, (end: ClaimOutcome) => void>();
   readonly #primaries = new Set<number>();
   readonly #closingSince = new Map<number, number>();
   #prunedAt = 0;
@@ -193,7 +193,7 @@
   }
 
   /** Decides whether a request for a key may run here. */
-  judge(slot: number, request: KeyRequest): KeyDecision {
+  evaluate(slot: number, request: KeyRequest): KeyDecision {
     const replica = this.#replicas[slot];
     return replica === undefined
       ? { kind: "not_primary", primary: undefined }
@@ -204,7 +204,7 @@
    * Claims a new key. Resolves once it is decided whether the request may be
    * sent.
    */
-  open(slot: number, request: KeyRequest): Promise<ClaimEnd> {
+  open(slot: number, request: KeyRequest): Promise<ClaimOutcome> {
     const replica = this.#replicas[slot];
     if (replica === undefined) return Promise.resolve("withdrawn");
     const { clock } = this.#options;
@@ -362,7 +362,7 @@
     },
   };
 
-  #settle(key: string, end: ClaimEnd): void {
+  #settle(key: string, end: ClaimOutcome): void {
     const resolve = this.#claims.get(key);
     this.#claims.delete(key);
     resolve?.(end);
