--- a/packages/rampswitch-protocol/src/slot_replica.ts
+++ b/packages/rampswitch-protocol/src/slot_replica.ts
@@ -322,7 +322,10 @@
   }
 
   /** As a host without a role: takes over a slot one of whose holders has ended. */
-  takeOver(isGone: (host: HostId) => boolean, now: number): readonly SlotEffect[] {
+  takeOver(
+    isGone: (host: HostId) => boolean,
+    now: number,
+  ): readonly SlotEffect[] {
     const entry = this.#entry;
     if (entry === undefined || this.role !== "none") return [];
     if (!this.#rules.canTakeOver(entry, isGone)) return [];
--- a/packages/rampswitch-serving/src/configuration/configuration_follower.ts
+++ b/packages/rampswitch-serving/src/configuration/configuration_follower.ts
@@ -384,7 +384,8 @@
 
   /** Applies the configuration that a relay forwarded. */
   receiveConfiguration(changes: ChangeBatch): void {
-    if (this.#configuration.applyRelayed(changes)) this.#behindSince = undefined;
+    if (this.#configuration.applyRelayed(changes))
+      this.#behindSince = undefined;
   }
 
   #suspendPolling(): void {
--- a/packages/rampswitch-store/src/watcher_test.ts
+++ b/packages/rampswitch-store/src/watcher_test.ts
@@ -119,7 +119,9 @@
     });
     await settle();
     const before = member.store.calls;
-    expect(member.watcher.applyRelayed(relay.watcher.recentChanges()!)).toBe(true);
+    expect(member.watcher.applyRelayed(relay.watcher.recentChanges()!)).toBe(
+      true,
+    );
     expect(member.objects).toEqual(relay.objects);
     expect([...member.objects]).toEqual([[B.key, B.value]]);
     await settle(1_000);
@@ -138,7 +140,11 @@
     const member = await watch([A]);
     const removed = { key: B.key, version: B.version };
     member.watcher.applyRelayed({ after: 10, version: 12, events: [B] });
-    member.watcher.applyRelayed({ after: 10, version: 14, events: [B, removed] });
+    member.watcher.applyRelayed({
+      after: 10,
+      version: 14,
+      events: [B, removed],
+    });
     member.watcher.applyRelayed({ after: 10, version: 16, events: [B] });
     expect([...member.objects.keys()]).toEqual([A.key]);
   });
@@ -203,7 +209,9 @@
     member.watcher.suspend();
     await relist(relay, [{ ...A, version: secondEra(5) }]);
     const batch = relay.watcher.recentChanges();
-    expect(batch !== undefined && member.watcher.applyRelayed(batch)).toBe(true);
+    expect(batch !== undefined && member.watcher.applyRelayed(batch)).toBe(
+      true,
+    );
     expect([...member.objects]).toEqual([["servers/a", "a5"]]);
   });
 
@@ -212,6 +220,8 @@
     const member = await watched();
     await relist(member, [{ ...A, version: secondEra(5) }]);
     const batch = relay.watcher.recentChanges();
-    expect(batch !== undefined && member.watcher.applyRelayed(batch)).toBe(false);
+    expect(batch !== undefined && member.watcher.applyRelayed(batch)).toBe(
+      false,
+    );
   });
 });
