--- a/packages/rampswitch-emulator/src/alternative_judges.ts
+++ b/packages/rampswitch-emulator/src/alternative_judges.ts
@@ -9,8 +9,8 @@
 import {
   countedAnswers,
   type CountedAnswers,
-  type Judge,
-  type JudgedStep,
+  type Evaluator,
+  type EvaluatedStep,
   type VersionArm,
   type VersionEvidence,
   type VersionFault,
@@ -24,7 +24,7 @@
 /** Whether a version's answers are worse than the baseline's, and surely no worse. */
 interface Comparison {
   isWorse(target: Shares, baseline: Shares): boolean;
-  isAsGood(target: Shares, baseline: Shares, step: JudgedStep): boolean;
+  isAsGood(target: Shares, baseline: Shares, step: EvaluatedStep): boolean;
 }
 
 /** Answers slower than so many classes above the baseline's median are wrong. */
@@ -33,7 +33,7 @@
 const MARGIN = 0.06;
 
 /** Judges all answers together, failures and slow ones alike. */
-class ComparingJudge implements Judge {
+class ComparingJudge implements Evaluator {
   readonly #comparison: Comparison;
   #target: Shares = { answers: 0, wrong: 0 };
   #baseline: Shares = { answers: 0, wrong: 0 };
@@ -62,7 +62,7 @@
     };
   }
 
-  allows(step: JudgedStep): boolean {
+  allows(step: EvaluatedStep): boolean {
     return (
       this.#fault === undefined &&
       this.#baseline.answers >= 20 &&
@@ -96,7 +96,7 @@
 
 /** Ways to judge, by name. */
 export const ALTERNATIVE_JUDGES: Readonly<
-  Record<string, (() => Judge) | undefined>
+  Record<string, (() => Evaluator) | undefined>
 > = {
   fixed: () => new ComparingJudge(FIXED_THRESHOLD),
   wald: () => new ComparingJudge(WALD),
--- a/packages/rampswitch-emulator/src/emulated_rests.ts
+++ b/packages/rampswitch-emulator/src/emulated_rests.ts
@@ -9,7 +9,7 @@
 import {
   chooseServer,
   PrefixCacheEstimate,
-  returnMilliseconds,
+  returnSpreadMilliseconds,
   type ReturnInputs,
   ServerRecord,
 } from "rampswitch-serving";
@@ -27,10 +27,10 @@
   /** Over as long as the rest was. */
   rest: ({ restMilliseconds }: RestInputs) => restMilliseconds,
   /** Over the time in which the server can serve a request of each host. */
-  hosts: returnMilliseconds,
+  hosts: returnSpreadMilliseconds,
   /** Over the shorter of both. */
   both: (inputs: RestInputs) =>
-    Math.min(inputs.restMilliseconds, returnMilliseconds(inputs)),
+    Math.min(inputs.restMilliseconds, returnSpreadMilliseconds(inputs)),
 } as const;
 
 /** One of {@link RETURNS}. */
--- a/packages/rampswitch-emulator/src/emulated_rollout.ts
+++ b/packages/rampswitch-emulator/src/emulated_rollout.ts
@@ -10,14 +10,14 @@
 import {
   type BackendServer,
   type DueState,
-  type RolloutNews,
+  type RolloutUpdate,
   Rollouts,
-  type SentRequest,
+  type SendObserver,
   ServerDirectory,
   type ServerRecord,
   ServingMetrics,
   type StoredRolloutState,
-  VersionJudge,
+  VersionEvaluator,
 } from "rampswitch-serving";
 import {
   type RolloutFigures,
@@ -71,7 +71,7 @@
   readonly route: Route;
   record: ServerRecord;
   work: { ended(): void };
-  sent: SentRequest | undefined;
+  sent: SendObserver | undefined;
   moving: boolean;
   ended: boolean;
 }
@@ -247,7 +247,7 @@
           rank: Number(name.slice(1)),
           hosts: this.#run.hosts,
         }),
-        createEvaluator: this.#run.judge ?? (() => new VersionJudge()),
+        createEvaluator: this.#run.judge ?? (() => new VersionEvaluator()),
         onPromoting: () =>
           this.#after(LOOK_MILLISECONDS, () => this.#leave(name)),
         onUnknownVersion: () =>
@@ -327,7 +327,7 @@
 
   #deliver(
     host: Host,
-    news: readonly RolloutNews[],
+    news: readonly RolloutUpdate[],
     life: string | undefined,
   ): void {
     if (news.length === 0 || this.#random.next() < LOST_NEWS_SHARE) return;
--- a/packages/rampswitch-emulator/src/rollout_shape.ts
+++ b/packages/rampswitch-emulator/src/rollout_shape.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import type { Judge, StoredRolloutState } from "rampswitch-serving";
+import type { Evaluator, StoredRolloutState } from "rampswitch-serving";
 
 /** How the target version behaves. */
 export interface VersionBehaviour {
@@ -40,7 +40,7 @@
   /** `undefined` for a good version. */
   readonly version: VersionBehaviour | undefined;
   readonly trouble: RolloutTrouble;
-  readonly judge?: () => Judge;
+  readonly judge?: () => Evaluator;
 }
 
 /** What came of a roll-out. */
--- a/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
+++ b/packages/rampswitch-entry/src/attempt/chat_runner_test.ts
@@ -254,7 +254,7 @@
     clock.advance(at);
     recoverRequests({
       self: SELF,
-      book: { all: [answer], discard: () => undefined },
+      answerCache: { all: [answer], discard: () => undefined },
       slots: {
         primarySlots: [ENVELOPE.slot],
         recordOf: () => undefined,
--- a/packages/rampswitch-entry/src/entry_parts.ts
+++ b/packages/rampswitch-entry/src/entry_parts.ts
@@ -81,7 +81,7 @@
   readonly tokens: PeerTokens;
   readonly clients: PeerClients;
   readonly store: HttpObjectStore;
-  readonly book: AnswerCache;
+  readonly answerCache: AnswerCache;
   readonly links: ReplicaLinks;
   readonly configuration: ConfigurationService;
   readonly membership: MembershipService;
@@ -114,7 +114,7 @@
     this.tokens = new PeerTokens(settings.peerSecret, settings.host.name);
     this.clients = new PeerClients(this.tokens, this.clock);
     this.store = this.#owned.own(this.#makeStore());
-    this.book = this.#makeAnswerCache();
+    this.answerCache = this.#makeAnswerCache();
     this.links = this.#owned.own(this.#makeLinks());
     this.configuration = this.#owned.own(this.#makeConfiguration());
     this.slots = this.#owned.own(this.#makeSlots());
@@ -221,7 +221,7 @@
     const { limits, slots } = this.settings;
     return new SlotService({
       ...this.#shared,
-      steadyClock: MONOTONIC_CLOCK,
+      monotonicClock: MONOTONIC_CLOCK,
       self: this.self.id,
       slots: slots.count,
       times: {
@@ -245,7 +245,7 @@
   }
 
   #makeReplication(): RequestReplication {
-    const { links, book } = this;
+    const { links, answerCache: book } = this;
     return new RequestReplication({
       ...this.#shared,
       self: this.self.id,
--- a/packages/rampswitch-entry/src/entry_process.ts
+++ b/packages/rampswitch-entry/src/entry_process.ts
@@ -178,7 +178,7 @@
         async () => {
           await parts.slots.maintain();
           recoverLostRequests(parts);
-          parts.book.expire();
+          parts.answerCache.expire();
           this.#updateGauges();
         },
       ),
@@ -230,7 +230,7 @@
   }
 
   #updateGauges(): void {
-    const { slots, metrics, membership, book } = this.#parts;
+    const { slots, metrics, membership, answerCache: book } = this.#parts;
     metrics.gauge("slots_primary", slots.heldSlots);
     metrics.gauge("slots_without_backup", slots.slotsWithoutBackup);
     metrics.gauge("members_trusted", membership.trusted.length);
--- a/packages/rampswitch-entry/src/intake/administration_server.ts
+++ b/packages/rampswitch-entry/src/intake/administration_server.ts
@@ -66,7 +66,7 @@
   readonly membership: MembershipService;
   readonly slots: SlotService;
   readonly directory: BackendDirectory;
-  readonly book: AnswerCache;
+  readonly answerCache: AnswerCache;
   readonly state: () => string;
   readonly freshness: () => Freshness;
 }
@@ -242,8 +242,14 @@
   }
 
   #readStatus(): unknown {
-    const { configuration, slots, directory, book, clock, metrics } =
-      this.#options;
+    const {
+      configuration,
+      slots,
+      directory,
+      answerCache: book,
+      clock,
+      metrics,
+    } = this.#options;
     const membership = this.#options.membership;
     const { candidates } = configuration.routing;
     return {
--- a/packages/rampswitch-entry/src/intake/caller_server.ts
+++ b/packages/rampswitch-entry/src/intake/caller_server.ts
@@ -162,7 +162,10 @@
 
   async #readAnswer(exchange: Exchange): Promise<void> {
     const id = exchange.url.pathname.slice(REQUESTS_PATH.length);
-    await this.#options.kept.readAnswer(exchange, decodePathSegment(id));
+    await this.#options.retainedRequests.readAnswer(
+      exchange,
+      decodePathSegment(id),
+    );
   }
 
   readonly #unauthenticatedPaths: Readonly<
--- a/packages/rampswitch-entry/src/intake/entry_listeners.ts
+++ b/packages/rampswitch-entry/src/intake/entry_listeners.ts
@@ -97,14 +97,14 @@
     callerAddressOf: (host) => membership.find(host)?.digest.host.callerAddress,
     idleMilliseconds: settings.limits.stopMilliseconds,
   });
-  const keptRequests = new RetainedRequests({
+  const retainedRequests = new RetainedRequests({
     ...shared,
-    primaryForwarding: primaryForwarding,
+    primaryForwarding,
     trusts: (host) => membership.trusts(host),
   });
   return new CallerServer({
     ...shared,
-    kept: keptRequests,
+    retainedRequests,
     limits: settings.limits,
     refusal: () => processStatus.refusal(),
     ready: () => processStatus.ready(),
--- a/packages/rampswitch-entry/src/intake/work_intake.ts
+++ b/packages/rampswitch-entry/src/intake/work_intake.ts
@@ -40,7 +40,7 @@
   readonly chat: ChatRunner;
   readonly plain: PlainRunner;
   readonly directory: BackendDirectory;
-  readonly kept: RetainedRequests;
+  readonly retainedRequests: RetainedRequests;
 }
 
 const MAXIMUM_BUFFERED_BODY_BYTES = 64 * 1024;
@@ -68,7 +68,7 @@
   const { directory, routing } = options;
   const route = routing().route(service, exchange.caller.workspace);
   const speeds = directory.speeds(route);
-  await options.kept.serve(exchange, {
+  await options.retainedRequests.serve(exchange, {
     service,
     body,
     replicatedBody: body,
@@ -119,7 +119,7 @@
 ): Promise<void> {
   const body = await readExchangeBody(exchange, options);
   if (body === undefined) return;
-  await options.kept.serve(exchange, {
+  await options.retainedRequests.serve(exchange, {
     service: call.service,
     body,
     replicatedBody: NO_BODY,
--- a/packages/rampswitch-entry/src/membership/membership_service.ts
+++ b/packages/rampswitch-entry/src/membership/membership_service.ts
@@ -210,7 +210,7 @@
       .map(({ id, leaving }) => `${id} ${leaving}`)
       .join();
     if (placementKey !== this.#placement.placementKey)
-      this.#placement = { placementKey: placementKey, hosts };
+      this.#placement = { placementKey, hosts };
     return this.#placement.hosts;
   }
 
--- a/packages/rampswitch-entry/src/outcome/retained_requests.ts
+++ b/packages/rampswitch-entry/src/outcome/retained_requests.ts
@@ -48,7 +48,7 @@
 export interface RetainedRequestOptions extends ExchangeOptions {
   readonly self: HostId;
   readonly random: Random;
-  readonly book: AnswerCache;
+  readonly answerCache: AnswerCache;
   readonly slots: SlotService;
   readonly gate: AdmissionGate;
   readonly chat: ChatRunner;
@@ -128,7 +128,7 @@
   async readAnswer(exchange: Exchange, id: string): Promise<void> {
     const slot = slotOfRequestId(id);
     const here = () => Promise.resolve(this.#readCached(exchange, id));
-    const answer = this.#options.book.byId(id);
+    const answer = this.#options.answerCache.byId(id);
     const isHere = answer !== undefined && this.#canFollow(answer);
     if (slot === undefined || isHere) {
       await here();
@@ -155,7 +155,7 @@
       slotKey.slot,
       keyRequest(exchange, work, slotKey.key),
     );
-    const answer = this.#options.book.byKey(slotKey.key);
+    const answer = this.#options.answerCache.byKey(slotKey.key);
     const mayRun =
       verdict.kind === "new" ||
       (!work.guarded && UNKNOWN_HISTORY_VERDICTS.includes(verdict.kind));
@@ -195,7 +195,7 @@
     work: RetainedWork,
     slotKey: SlotKey,
   ): Promise<void> {
-    const { book, replication, self } = this.#options;
+    const { answerCache: book, replication, self } = this.#options;
     const envelope = this.#envelope(exchange, work, slotKey);
     const answer = book.open(envelope, self);
     const refusal = await this.#claimAndAdmit(exchange, work, answer);
@@ -270,7 +270,7 @@
   }
 
   #ended({ envelope }: Answer, outcome: Outcome): void {
-    const { gate, slots, book } = this.#options;
+    const { gate, slots, answerCache: book } = this.#options;
     const { id, key, slot, service } = envelope;
     gate.end(service, id);
     if (key === id) return;
@@ -281,7 +281,7 @@
   }
 
   #readCached(exchange: Exchange, id: string): void {
-    const { book, metrics } = this.#options;
+    const { answerCache: book, metrics } = this.#options;
     const answer = book.byId(id);
     const evicted = book.evicted(id);
     const own = exchange.caller.workspace.name;
--- a/packages/rampswitch-entry/src/replication/request_recovery.ts
+++ b/packages/rampswitch-entry/src/replication/request_recovery.ts
@@ -17,7 +17,7 @@
 /** Options of {@link recoverRequests}. */
 export interface RecoveryOptions {
   readonly self: HostId;
-  readonly book: Pick<AnswerCache, "all" | "discard">;
+  readonly answerCache: Pick<AnswerCache, "all" | "discard">;
   readonly slots: Pick<SlotService, "primarySlots" | "recordOf" | "finish">;
   readonly chat: ChatRunner;
   readonly metrics: Metrics;
@@ -47,7 +47,7 @@
  * they can be sent to the primary.
  */
 export function recoverRequests(options: RecoveryOptions): void {
-  const { book, slots, self, trusts } = options;
+  const { answerCache: book, slots, self, trusts } = options;
   const own = new Set(slots.primarySlots);
   const lost = book.all
     .filter(({ outcome, runner }) => outcome === undefined && runner !== self)
@@ -86,7 +86,7 @@
     answer.runner = self;
     void chat.run(answer, "taken_over");
   },
-  run_anew: (answer, { book, slots }) => {
+  run_anew: (answer, { answerCache: book, slots }) => {
     const { slot, key } = answer.envelope;
     slots.finish(slot, key, "withdrawn");
     answer.end(LOST_OUTCOME);
--- a/packages/rampswitch-entry/src/replication/request_recovery_test.ts
+++ b/packages/rampswitch-entry/src/replication/request_recovery_test.ts
@@ -33,12 +33,12 @@
   readonly trusted: boolean;
 }): readonly string[] {
   const metrics = createMetrics("test", undefined);
-  const book = new AnswerCache(new ManualClock(), metrics, {
+  const answerCache = new AnswerCache(new ManualClock(), metrics, {
     answerBytes: 1_024,
     answersBytes: 1_024,
     retentionMilliseconds: 1_000,
   });
-  const answer = book.open(ENVELOPE, "runner");
+  const answer = answerCache.open(ENVELOPE, "runner");
   const seen: string[] = [];
   const reader: AnswerReader = {
     event: (index) => seen.push(`event ${index}`),
@@ -49,10 +49,10 @@
   answer.read(-1, reader);
   const recovery: Pick<
     RecoveryOptions,
-    "self" | "book" | "slots" | "metrics" | "trusts"
+    "self" | "answerCache" | "slots" | "metrics" | "trusts"
   > = {
     self: "backup",
-    book,
+    answerCache,
     slots: {
       primarySlots: [],
       recordOf: () => undefined,
--- a/packages/rampswitch-entry/src/replication/slot_service.ts
+++ b/packages/rampswitch-entry/src/replication/slot_service.ts
@@ -54,7 +54,7 @@
   readonly links: ReplicaLinks;
   readonly clock: Clock;
   /** A monotonic clock. */
-  readonly steadyClock: Clock;
+  readonly monotonicClock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
   readonly logger: Logger;
@@ -256,7 +256,7 @@
       .filter(({ step }) => step.kind !== "none")
       .slice(0, MAXIMUM_STEPS_PER_ROUND);
     steps.forEach(({ replica, step }) => this.#applyStep(replica, step, view));
-    this.#prune(this.#options.steadyClock.now());
+    this.#prune(this.#options.monotonicClock.now());
     await this.#createMissing(view);
   }
 
--- a/packages/rampswitch-serving/src/advertisements/engine_report.ts
+++ b/packages/rampswitch-serving/src/advertisements/engine_report.ts
@@ -19,13 +19,13 @@
   record: ServerRecord,
   parts: {
     readonly engineControl: EngineControl;
-    readonly statements: AdvertisementReader;
+    readonly advertisements: AdvertisementReader;
   },
 ): Promise<EngineReport | undefined> {
   const report = await parts.engineControl.report(record.entry.address);
   const namesIncarnation = report?.born !== undefined;
   if (namesIncarnation && record.matchesIncarnation(report.born)) {
-    parts.statements.read(record, report.advertised, { isLate: true });
+    parts.advertisements.read(record, report.advertised, { isLate: true });
   }
   return report;
 }
--- a/packages/rampswitch-serving/src/host_gossip.ts
+++ b/packages/rampswitch-serving/src/host_gossip.ts
@@ -21,7 +21,7 @@
   type HostRole,
   type LeaseUpdate,
   type OwnUpdate,
-  PACE_BY_ROLE,
+  GOSSIP_TIMING_BY_ROLE,
   type PeerUpdate,
 } from "./membership/mod.ts";
 import type { Quarantine, QuarantineUpdate } from "./quarantine/mod.ts";
@@ -95,7 +95,7 @@
     readonly role: HostRole;
   }): OwnUpdate {
     const { limits } = this.#parts;
-    limits.setGossipTiming(PACE_BY_ROLE[message.role]);
+    limits.setGossipTiming(GOSSIP_TIMING_BY_ROLE[message.role]);
     if (message.role !== "member") limits.followPeers();
     this.#parts.follower.checkRelays();
     this.#recordReported(message.sequence, limits.admittedTotals());
--- a/packages/rampswitch-serving/src/membership/mod.ts
+++ b/packages/rampswitch-serving/src/membership/mod.ts
@@ -7,10 +7,7 @@
  */
 export type { LimitRequest } from "./limit_queries.ts";
 export type { HostRole } from "./fleet_hosts.ts";
-export {
-  gossipLagMilliseconds as newsLagMilliseconds,
-  GOSSIP_TIMING_BY_ROLE as PACE_BY_ROLE,
-} from "./fleet_hosts.ts";
+export { gossipLagMilliseconds, GOSSIP_TIMING_BY_ROLE } from "./fleet_hosts.ts";
 export * from "./membership.ts";
 export * from "./peer_codec.ts";
 export * from "./peer_messages.ts";
--- a/packages/rampswitch-serving/src/mod.ts
+++ b/packages/rampswitch-serving/src/mod.ts
@@ -21,6 +21,6 @@
 export * from "./serving_host.ts";
 export {
   type ReturnInputs,
-  returnSpreadMilliseconds as returnMilliseconds,
+  returnSpreadMilliseconds,
 } from "./advertisements/mod.ts";
 export type * from "./serving_settings.ts";
--- a/packages/rampswitch-serving/src/relay/leaving_servers.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers.ts
@@ -32,7 +32,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly engineControl: EngineControl;
-  readonly statements: AdvertisementReader;
+  readonly advertisements: AdvertisementReader;
   /** Time for which a leaving server still serves, if it reports none, in ms. */
   readonly drainMilliseconds: number;
 }
--- a/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
+++ b/packages/rampswitch-serving/src/relay/leaving_servers_test.ts
@@ -61,7 +61,7 @@
     {
       clock,
       logger: SILENT_LOGGER,
-      statements: ignoringAdvertisementReader(),
+      advertisements: ignoringAdvertisementReader(),
       drainMilliseconds: DRAIN_MILLISECONDS,
       engineControl: {
         report: () => Promise.resolve(report),
--- a/packages/rampswitch-serving/src/relay/request_context.ts
+++ b/packages/rampswitch-serving/src/relay/request_context.ts
@@ -66,7 +66,7 @@
   readonly permits: ServerPermits;
   /** Retry times given to callers that were refused during servers' back-offs. */
   readonly backOffWaits: PermitWaits;
-  readonly statements: AdvertisementReader;
+  readonly advertisements: AdvertisementReader;
   readonly metrics: ServingMetrics;
   readonly logger: Logger;
   configuration(): ConfigurationView;
--- a/packages/rampswitch-serving/src/relay/request_run.ts
+++ b/packages/rampswitch-serving/src/relay/request_run.ts
@@ -401,7 +401,7 @@
   #readAdvertisements(head: AnswerHead, record: ServerRecord): void {
     if (head.status === MISDIRECTED || head.attemptId === undefined) return;
     const isLate = head.attemptId !== this.request.head.attemptId;
-    this.#context.statements.read(record, head.advertised, { isLate });
+    this.#context.advertisements.read(record, head.advertised, { isLate });
   }
 
   /**
--- a/packages/rampswitch-serving/src/relay/run_migration_test.ts
+++ b/packages/rampswitch-serving/src/relay/run_migration_test.ts
@@ -143,7 +143,7 @@
       logger: SILENT_LOGGER,
       metrics: new ServingMetrics(),
       engineControl: this,
-      statements: ignoringAdvertisementReader(),
+      advertisements: ignoringAdvertisementReader(),
       drainMilliseconds: () => DRAIN_MILLISECONDS,
       began: () => undefined,
     } as unknown as RequestContext;
--- a/packages/rampswitch-serving/src/relay/run_record.ts
+++ b/packages/rampswitch-serving/src/relay/run_record.ts
@@ -9,7 +9,7 @@
 import type { ResendBudgetState } from "../admission/mod.ts";
 import type { ServerRecord } from "../choice/mod.ts";
 import type { ResendReason } from "../model/outcome.ts";
-import type { SentRequest } from "../rollout/mod.ts";
+import type { SendObserver } from "../rollout/mod.ts";
 import type { AdmittedRequest } from "./admitted_request.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { ServerIncarnation } from "../model/backend_server.ts";
@@ -89,7 +89,7 @@
   #lastSend: LastSend | undefined;
   #budget: BudgetView | undefined;
   /** The newest send, where its version is evaluated. */
-  #evaluatedSend: SentRequest | undefined;
+  #evaluatedSend: SendObserver | undefined;
 
   constructor(request: AdmittedRequest, context: RecordParts) {
     this.#request = request;
--- a/packages/rampswitch-serving/src/rollout/mod.ts
+++ b/packages/rampswitch-serving/src/rollout/mod.ts
@@ -8,15 +8,15 @@
  */
 export type {
   ExposureTerms,
-  RolloutSpec as RolloutOrder,
-  RolloutSpecAdapter as RolloutOrders,
+  RolloutSpec,
+  RolloutSpecAdapter,
   StoredRollout,
   StoredRolloutState,
 } from "./rollout_spec.ts";
 export type {
-  RolloutUpdate as RolloutNews,
-  RolloutProgress as RolloutWork,
-  SendObserver as SentRequest,
+  RolloutUpdate,
+  RolloutProgress,
+  SendObserver,
 } from "./rollout.ts";
 export { type DueState, Rollouts, type VersionChoice } from "./rollouts.ts";
 export {
@@ -26,10 +26,10 @@
   type VersionCounts,
 } from "./version_counts.ts";
 export {
-  type Evaluator as Judge,
-  type EvaluatedStep as JudgedStep,
+  type Evaluator,
+  type EvaluatedStep,
   type VersionEvidence,
   type VersionFault,
-  VersionEvaluator as VersionJudge,
+  VersionEvaluator,
 } from "./version_evaluator.ts";
 export { RolloutStore } from "./rollout_store.ts";
--- a/packages/rampswitch-serving/src/server_limits/mod.ts
+++ b/packages/rampswitch-serving/src/server_limits/mod.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-export { LimitTable, type LimitUpdate as LimitUpdate } from "./limit_table.ts";
+export { LimitTable, type LimitUpdate } from "./limit_table.ts";
 export {
   type LimitedServer,
   ServerPermits,
--- a/packages/rampswitch-serving/src/serving_host.ts
+++ b/packages/rampswitch-serving/src/serving_host.ts
@@ -37,8 +37,8 @@
 import { HostGossip } from "./host_gossip.ts";
 import {
   Membership,
-  newsLagMilliseconds,
-  PACE_BY_ROLE,
+  gossipLagMilliseconds,
+  GOSSIP_TIMING_BY_ROLE,
   PromptBroadcast,
 } from "./membership/mod.ts";
 import type { Cloud } from "./model/cloud.ts";
@@ -47,10 +47,10 @@
 import type { ServingMetrics } from "./observation/mod.ts";
 import { Quarantine, QuarantineStore } from "./quarantine/mod.ts";
 import {
-  type RolloutOrders,
+  type RolloutSpecAdapter,
   Rollouts,
   RolloutStore,
-  VersionJudge,
+  VersionEvaluator,
 } from "./rollout/mod.ts";
 import { RecentDispatches } from "./relay/recent_dispatches.ts";
 import { LeavingServers } from "./relay/leaving_servers.ts";
@@ -90,7 +90,7 @@
   readonly leaseKey: string;
   /** Prefix of the key of the quarantined requests in the store. */
   readonly quarantinePrefix: string;
-  readonly rolloutOrders: RolloutOrders;
+  readonly rolloutOrders: RolloutSpecAdapter;
   readonly readinessPath: string;
   readonly metricsPath: string;
   /** A monotonic clock. */
@@ -163,7 +163,7 @@
     this.#cautiousClock = new SuspendAwareClock(ports.clock, ports.wallTime);
     this.#limits = new WorkspaceLimits(
       limitTolerance(bounds),
-      PACE_BY_ROLE.direct,
+      GOSSIP_TIMING_BY_ROLE.direct,
       ports,
     );
     this.#admission = new FleetAdmission({
@@ -198,7 +198,7 @@
           rank: this.#membership?.rankFor(key).rank ?? 0,
           hosts: this.#membership?.size ?? 1,
         }),
-        createEvaluator: () => new VersionJudge(),
+        createEvaluator: () => new VersionEvaluator(),
         onPromoting: () => this.#scheduleVersionCheck(),
         onUnknownVersion: () => this.#rolloutStore.unknownVersion(),
       },
@@ -222,7 +222,8 @@
       host: settings.host,
       cautiousClock: this.#cautiousClock,
       fleetTime: () => this.#fleetTime(),
-      gossipIntervals: () => PACE_BY_ROLE[this.#membership?.role ?? "direct"],
+      gossipIntervals: () =>
+        GOSSIP_TIMING_BY_ROLE[this.#membership?.role ?? "direct"],
       hosts: () => this.#membership?.size ?? 1,
       server: (id) => this.#directory.get(id),
       queryHolder: async (holder, request) =>
@@ -267,7 +268,7 @@
     this.#callers = new CallerServer(this.#requestContext());
     this.#leavingServers = new LeavingServers(this.#callers, {
       ...ports,
-      statements: this.#advertisements,
+      advertisements: this.#advertisements,
       drainMilliseconds: bounds.drainMilliseconds,
     });
     this.#duties = this.#ownership.own(
@@ -451,7 +452,7 @@
         ownUpdate: (message) => this.#gossip.ownUpdate(message),
         stopping: () => this.#lifecycle.state === "stopping",
         viewFor: (host) => this.#gossip.viewFor(host),
-        onUpdate: (news, age) => this.#gossip.receiveUpdate(news, age),
+        onUpdate: (update, age) => this.#gossip.receiveUpdate(update, age),
         onDigest: (digest) => this.#gossip.receiveDigest(digest),
         configuration: () => this.#follower.newestConfiguration(),
         onConfiguration: (changes) =>
@@ -494,7 +495,7 @@
       rollouts: this.#rollouts,
       permits: this.#permits,
       backOffWaits: this.#backOffWaits,
-      statements: this.#advertisements,
+      advertisements: this.#advertisements,
       configuration: () => ({
         routes: this.#follower.routes,
         ageMilliseconds: this.#follower.age,
@@ -504,7 +505,7 @@
       listedHosts: () => this.#membership?.listedSize,
       drainMilliseconds: () => this.#settings.bounds.drainMilliseconds,
       gossipLagMilliseconds: () =>
-        newsLagMilliseconds(this.#membership?.role ?? "direct"),
+        gossipLagMilliseconds(this.#membership?.role ?? "direct"),
       receivesDispatches: () =>
         (this.#membership?.role ?? "direct") === "direct",
       acceptsRequests: () => this.#startsRequests(),
